--- a/include/chicorybank/edge/Settings.h
+++ b/include/chicorybank/edge/Settings.h
@@ -26,11 +26,11 @@
   /// over TCP, same port).
   Address Peers;
   Address Registry;
-  NewsTimes News;
+  NewsTimes Watcher;
   token::CoreOptions Core;
   /// From the order to stop until the end. Routers ask twice a second and turn
   /// away after two refusals; the rest is for packets under way.
-  Duration StopAfter = std::chrono::milliseconds(2500);
+  Duration StopDelay = std::chrono::milliseconds(2500);
   /// The process is killed this long after the order to stop.
   Duration Grace = std::chrono::seconds(6);
 };
@@ -48,7 +48,7 @@
 SettingsChange applyChanges(EdgeSettings &inUse, const EdgeSettings &fresh);
 
 /// The mechanisms that are off. In production there are none.
-std::vector<std::string> switchedOff(const EdgeSettings &settings);
+std::vector<std::string> disabledMechanisms(const EdgeSettings &settings);
 
 /// Reads settings. Reports every fault with its place.
 std::optional<EdgeSettings> readEdgeSettings(std::string_view text,
--- a/lib/edge/ReachProbes.cpp
+++ b/lib/edge/BackendProber.cpp
@@ -1,4 +1,4 @@
-#include "ReachProbes.h"
+#include "BackendProber.h"
 
 #include <cerrno>
 #include <poll.h>
@@ -29,8 +29,8 @@
 
 } // namespace
 
-void ReachProbes::start(const token::ProbeBackend &probe, Time now) {
-  auto socket = Running.size() < Most
+void BackendProber::start(const token::ProbeBackend &probe, Time now) {
+  auto socket = Running.size() < MaxProbes
                     ? connectTcp(From, probe.Where)
                     : tl::make_unexpected(std::string("too many probes"));
   if (!socket) {
@@ -44,14 +44,14 @@
   Events.watch(fd, EPOLLOUT, [this, fd](uint32_t) { end(fd, outcomeOf(fd)); });
 }
 
-void ReachProbes::end(int fd, ProbeOutcome outcome) {
+void BackendProber::end(int fd, ProbeOutcome outcome) {
   auto it = Running.find(fd);
   Ended.push_back({.Id = it->second.Id, .Outcome = outcome});
   Events.unwatch(fd);
   Running.erase(it);
 }
 
-Time ReachProbes::nextAt() const {
+Time BackendProber::nextAt() const {
   if (!Ended.empty())
     return Time::min();
   Time out = Time::max();
@@ -60,7 +60,7 @@
   return out;
 }
 
-std::vector<token::ProbeEnded> ReachProbes::takeEnded(Time now) {
+std::vector<token::ProbeEnded> BackendProber::takeEnded(Time now) {
   std::vector<int> due;
   for (const auto &[fd, probe] : Running)
     if (now >= probe.Deadline)
--- a/lib/edge/ReachProbes.h
+++ b/lib/edge/BackendProber.h
@@ -1,9 +1,9 @@
 // Connections that are opened to see whether a backend server can be reached.
 
-#ifndef CHICORYBANK_LIB_EDGE_REACHPROBES_H
-#define CHICORYBANK_LIB_EDGE_REACHPROBES_H
+#ifndef CHICORYBANK_LIB_EDGE_BACKENDPROBER_H
+#define CHICORYBANK_LIB_EDGE_BACKENDPROBER_H
 
-#include "Loop.h"
+#include "EventLoop.h"
 
 #include "chicorybank/token/Events.h"
 
@@ -13,13 +13,13 @@
 namespace chicory::edge {
 
 /// Runs probes in a loop. Each ends exactly once, in `takeEnded`.
-class ReachProbes {
+class BackendProber {
 public:
   /// Descriptors that probes may hold at once. Above that they are not tried.
-  static constexpr size_t Most = 64;
+  static constexpr size_t MaxProbes = 64;
 
   /// Connections come from the IP `from`.
-  ReachProbes(Loop &loop, uint32_t from) : Events(loop), From(from) {}
+  BackendProber(EventLoop &loop, uint32_t from) : Events(loop), From(from) {}
 
   void start(const token::ProbeBackend &probe, Time now);
   /// When `takeEnded` has something to end.
@@ -37,7 +37,7 @@
 
   void end(int fd, token::ProbeOutcome outcome);
 
-  Loop &Events;
+  EventLoop &Events;
   uint32_t From;
   std::map<int, Probe> Running;
   std::vector<token::ProbeEnded> Ended;
--- a/lib/edge/ControlDuty.cpp
+++ b/lib/edge/ControlWorker.cpp
@@ -1,4 +1,4 @@
-#include "ControlDuty.h"
+#include "ControlWorker.h"
 
 #include "Metrics.h"
 
@@ -28,10 +28,10 @@
 
 } // namespace
 
-ControlDuty::ControlDuty(EdgeSettings &settings, SettingsFile file,
-                         const RegistryDialect &dialect, FileDescriptor ready,
-                         FileDescriptor peerSocket, FileDescriptor peerListener,
-                         Shared &shared)
+ControlWorker::ControlWorker(EdgeSettings &settings, SettingsFile file,
+                             const RegistryDialect &dialect,
+                             FileDescriptor ready, FileDescriptor peerSocket,
+                             FileDescriptor peerListener, SharedState &shared)
     : Settings(settings), File(std::move(file)), Common(shared),
       Lines(STDOUT_FILENO, settings.Name),
       News(Events, Lines, settings, dialect, std::move(peerSocket), shared),
@@ -43,20 +43,20 @@
   Common.ControlWakeup.attach(Events);
 }
 
-HttpAnswer ControlDuty::answerReady() const {
-  bool ready = Common.Serves && !Stopping;
+HttpResponse ControlWorker::answerReady() const {
+  bool ready = Common.ReadyToServe && !Stopping;
   return {.Status = ready ? HttpOk : HttpUnavailable,
           .ContentType = "text/plain"};
 }
 
-HttpAnswer ControlDuty::answerPeer(const std::string &target) {
+HttpResponse ControlWorker::answerPeer(const std::string &target) {
   if (target == "/metrics")
-    return answerMetrics(Common, News);
+    return metricsResponse(Common, News);
   return News.answer(target);
 }
 
-void ControlDuty::run(const std::atomic<bool> &stopAsked,
-                      std::atomic<bool> &reloadAsked) {
+void ControlWorker::run(const std::atomic<bool> &stopAsked,
+                        std::atomic<bool> &reloadAsked) {
   Time now = steadyNow();
   while (now < StopAt) {
     News.run(now);
@@ -68,8 +68,8 @@
     writeDecisions();
     if (now >= ExpireAt) {
       ExpireAt = now + LogEvery;
-      Ready.expire(now);
-      Peers.expire(now);
+      Ready.closeIdleConnections(now);
+      Peers.closeIdleConnections(now);
     }
     if (now >= StatusAt) {
       StatusAt = now + StatusEvery;
@@ -85,7 +85,7 @@
     }
     if (stopAsked && !Stopping) {
       Stopping = true;
-      StopAt = now + Settings.StopAfter;
+      StopAt = now + Settings.StopDelay;
       News.leave();
       Lines.write(LogLine("stopping"));
       writeStatus();
@@ -95,21 +95,21 @@
 }
 
 /// The figures that explain most, for whoever has logs alone.
-void ControlDuty::writeStatus() {
+void ControlWorker::writeStatus() {
   EdgeStats stats = Common.stats();
   const NewsStats &news = News.stats();
-  RegistryCounts calls = News.calls();
+  RegistryCallCounts calls = News.callCounts();
   constexpr double MsPerSecond = 1000;
   Lines.write(
       LogLine("status")
           .with("rules", static_cast<int64_t>(stats.RuleVersion))
           .with("news_age_ms",
-                static_cast<int64_t>(stats.NewsAgeSeconds * MsPerSecond))
-          .with("revision", News.reader().mirror().position().Revision)
-          .with("registry_revision", News.reader().toldPosition().Revision)
+                static_cast<int64_t>(stats.UpdateAgeSeconds * MsPerSecond))
+          .with("revision", News.watcher().mirror().position().Revision)
+          .with("registry_revision", News.watcher().toldPosition().Revision)
           .with("generation",
                 static_cast<int64_t>(
-                    News.reader().mirror().position().Generation.Value))
+                    News.watcher().mirror().position().Generation.Value))
           .with("servers", static_cast<int64_t>(stats.Servers))
           .with("drained_zones", namesOf(stats.Drained))
           .with("flows", static_cast<int64_t>(stats.Flows))
@@ -123,7 +123,7 @@
 }
 
 /// Takes over what a running instance can. A file with faults changes nothing.
-void ControlDuty::reload(const char *cause) {
+void ControlWorker::reload(const char *cause) {
   Findings findings;
   std::optional<EdgeSettings> fresh = File.read(findings);
   LogLine line("reload");
@@ -140,17 +140,17 @@
     line.with("after_restart", it);
   bool none = change.Applied.empty() && change.AfterRestart.empty();
   Lines.write(line.with("outcome", none ? "unchanged" : "read"));
-  News.boundsChanged({.ApplyWithin = Settings.Core.ApplyWithin,
-                      .MaxFlowAge = Settings.Core.MaxFlowAge});
+  News.updateBounds({.ApplyWithin = Settings.Core.ApplyWithin,
+                     .MaxFlowAge = Settings.Core.MaxFlowAge});
 }
 
 /// A process that was stopped, or a machine that was suspended, goes on as if
 /// nothing had happened: its news looks current, and what waits in its sockets
 /// looks fresh. The boot clock shows it.
-void ControlDuty::noticePause(Time before, Time now) {
+void ControlWorker::noticePause(Time before, Time now) {
   if (now - before < StoodStill)
     return;
-  News.stoodStill(steadyNow());
+  News.handleSuspension(steadyNow());
   Lines.write(
       LogLine("stood_still")
           .with("ms", std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -158,14 +158,14 @@
                           .count()));
 }
 
-Time ControlDuty::nextAt(Time now) const {
+Time ControlWorker::nextAt(Time now) const {
   return std::min({News.nextAt(), StopAt, now + LogEvery});
 }
 
-void ControlDuty::writeDecisions() {
+void ControlWorker::writeDecisions() {
   token::Decision decision;
   while (Common.Decisions.try_dequeue(decision))
-    Lines.write(lineOf(decision, steadyNow()));
+    Lines.write(decisionLine(decision, steadyNow()));
 }
 
 } // namespace chicory::edge
--- a/lib/edge/ControlDuty.h
+++ b/lib/edge/ControlWorker.h
@@ -1,26 +1,26 @@
 // The control thread: keeps the news current, answers the routers' probes,
 // serves news and metrics to others and writes the log.
 
-#ifndef CHICORYBANK_LIB_EDGE_CONTROLDUTY_H
-#define CHICORYBANK_LIB_EDGE_CONTROLDUTY_H
+#ifndef CHICORYBANK_LIB_EDGE_CONTROLWORKER_H
+#define CHICORYBANK_LIB_EDGE_CONTROLWORKER_H
 
 #include "Http.h"
 #include "Log.h"
-#include "NewsDuty.h"
+#include "RegistrySync.h"
 #include "SettingsFile.h"
-#include "Shared.h"
+#include "SharedState.h"
 
 #include "chicorybank/edge/Settings.h"
 
 namespace chicory::edge {
 
 /// Runs on a thread of its own until the stop is complete.
-class ControlDuty {
+class ControlWorker {
 public:
-  ControlDuty(EdgeSettings &settings, SettingsFile file,
-              const RegistryDialect &dialect, FileDescriptor ready,
-              FileDescriptor peerSocket, FileDescriptor peerListener,
-              Shared &shared);
+  ControlWorker(EdgeSettings &settings, SettingsFile file,
+                const RegistryDialect &dialect, FileDescriptor ready,
+                FileDescriptor peerSocket, FileDescriptor peerListener,
+                SharedState &shared);
 
   /// Returns after a planned stop. `stopAsked` and `reloadAsked` are set by
   /// signal handlers, which wake the loop through `wakeup`.
@@ -30,8 +30,8 @@
 
 private:
   void writeDecisions();
-  HttpAnswer answerPeer(const std::string &target);
-  HttpAnswer answerReady() const;
+  HttpResponse answerPeer(const std::string &target);
+  HttpResponse answerReady() const;
   Time nextAt(Time now) const;
   void noticePause(Time before, Time now);
   void reload(const char *cause);
@@ -40,11 +40,11 @@
   /// Changed by this thread only; the packet thread has its own copy.
   EdgeSettings &Settings;
   SettingsFile File;
-  Shared &Common;
-  Loop Events;
+  SharedState &Common;
+  EventLoop Events;
   Wakeup Signals;
   Log Lines;
-  NewsDuty News;
+  RegistrySync News;
   HttpServer Ready;
   HttpServer Peers;
   Time ExpireAt;
--- a/lib/edge/Edge.cpp
+++ b/lib/edge/Edge.cpp
@@ -1,7 +1,7 @@
 #include "chicorybank/edge/Edge.h"
 
-#include "ControlDuty.h"
-#include "PacketDuty.h"
+#include "ControlWorker.h"
+#include "PacketWorker.h"
 #include "SettingsFile.h"
 
 #include <csignal>
@@ -58,16 +58,17 @@
   if (!peerListener)
     return tl::make_unexpected(peerListener.error());
 
-  Shared shared;
-  ControlDuty control(settings, SettingsFile(path), dialect, std::move(*ready),
-                      std::move(*peerSocket), std::move(*peerListener), shared);
+  SharedState shared;
+  ControlWorker control(settings, SettingsFile(path), dialect,
+                        std::move(*ready), std::move(*peerSocket),
+                        std::move(*peerListener), shared);
   handleSignals(control.wakeup());
-  auto duty = std::make_unique<PacketDuty>(settings, framing,
-                                           std::move(*packets), shared);
+  auto duty = std::make_unique<PacketWorker>(settings, framing,
+                                             std::move(*packets), shared);
   std::thread packetThread([&] { duty->run(); });
   control.log().write(LogLine("start").with("zone", settings.Zone));
   control.run(StopAsked, ReloadAsked);
-  shared.Ended = true;
+  shared.Stopped = true;
   shared.PacketWakeup.wake();
   packetThread.join();
   control.log().write(LogLine("end"));
--- a/lib/edge/Loop.cpp
+++ b/lib/edge/EventLoop.cpp
@@ -1,4 +1,4 @@
-#include "Loop.h"
+#include "EventLoop.h"
 
 #include <array>
 #include <sys/epoll.h>
@@ -13,9 +13,9 @@
 
 } // namespace
 
-Loop::Loop() : Epoll(::epoll_create1(EPOLL_CLOEXEC)) {}
+EventLoop::EventLoop() : Epoll(::epoll_create1(EPOLL_CLOEXEC)) {}
 
-void Loop::watch(int fd, uint32_t interest, Handler handler) {
+void EventLoop::watch(int fd, uint32_t interest, Handler handler) {
   Handlers[fd] = std::make_shared<Handler>(std::move(handler));
   epoll_event event{};
   event.events = interest;
@@ -23,19 +23,19 @@
   ::epoll_ctl(Epoll.get(), EPOLL_CTL_ADD, fd, &event);
 }
 
-void Loop::change(int fd, uint32_t interest) const {
+void EventLoop::modify(int fd, uint32_t interest) const {
   epoll_event event{};
   event.events = interest;
   event.data.fd = fd;
   ::epoll_ctl(Epoll.get(), EPOLL_CTL_MOD, fd, &event);
 }
 
-void Loop::unwatch(int fd) {
+void EventLoop::unwatch(int fd) {
   ::epoll_ctl(Epoll.get(), EPOLL_CTL_DEL, fd, nullptr);
   Handlers.erase(fd);
 }
 
-void Loop::wait(Duration most) {
+void EventLoop::wait(Duration most) {
   std::array<epoll_event, EventsAtOnce> events{};
   // Rounded up: a wait that ends just before its time would spin.
   auto ms = std::chrono::ceil<std::chrono::milliseconds>(most).count();
@@ -52,7 +52,7 @@
 
 Wakeup::Wakeup() : Event(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {}
 
-void Wakeup::attach(Loop &loop) {
+void Wakeup::attach(EventLoop &loop) {
   int fd = Event.get();
   loop.watch(fd, EPOLLIN, [fd](uint32_t) {
     uint64_t count = 0;
--- a/lib/edge/Loop.h
+++ b/lib/edge/EventLoop.h
@@ -1,7 +1,7 @@
 // Waits for file descriptors and calls back. One thread owns a loop.
 
-#ifndef CHICORYBANK_LIB_EDGE_LOOP_H
-#define CHICORYBANK_LIB_EDGE_LOOP_H
+#ifndef CHICORYBANK_LIB_EDGE_EVENTLOOP_H
+#define CHICORYBANK_LIB_EDGE_EVENTLOOP_H
 
 #include "chicorybank/base/Clock.h"
 #include "chicorybank/base/Socket.h"
@@ -14,16 +14,16 @@
 namespace chicory::edge {
 
 /// An epoll set with a handler for each descriptor.
-class Loop {
+class EventLoop {
 public:
   /// Gets the EPOLL* bits that are set.
   using Handler = std::function<void(uint32_t)>;
 
-  Loop();
+  EventLoop();
 
   /// Calls `handler` while any of the EPOLL* bits of `interest` is set.
   void watch(int fd, uint32_t interest, Handler handler);
-  void change(int fd, uint32_t interest) const;
+  void modify(int fd, uint32_t interest) const;
   void unwatch(int fd);
   /// Waits for at most `most`, then calls the handlers that are due.
   void wait(Duration most);
@@ -39,7 +39,7 @@
 public:
   Wakeup();
   /// Adds the receiving end to a loop.
-  void attach(Loop &loop);
+  void attach(EventLoop &loop);
   /// From any thread.
   void wake() const;
 
--- a/lib/edge/Http.cpp
+++ b/lib/edge/Http.cpp
@@ -31,7 +31,7 @@
     return "broken";
   case HttpFailure::TimedOut:
     return "timed_out";
-  case HttpFailure::Unread:
+  case HttpFailure::Unreadable:
     return "unread";
   }
   return "invalid";
@@ -39,16 +39,16 @@
 
 /// http_parser's callbacks, which are plain functions.
 struct HttpCallbacks {
-  static HttpMessage &of(http_parser *parser) {
-    return *static_cast<HttpMessage *>(parser->data);
+  static HttpMessageReader &of(http_parser *parser) {
+    return *static_cast<HttpMessageReader *>(parser->data);
   }
   static int onUrl(http_parser *parser, const char *at, size_t n) {
-    HttpMessage &it = of(parser);
+    HttpMessageReader &it = of(parser);
     it.Target.append(at, n);
     return it.Target.size() > MaxTarget ? 1 : 0;
   }
   static int onField(http_parser *parser, const char *at, size_t n) {
-    HttpMessage &it = of(parser);
+    HttpMessageReader &it = of(parser);
     if (it.WantedHeader.empty())
       return 0;
     if (std::exchange(it.InValue, false))
@@ -58,21 +58,21 @@
     return 0;
   }
   static int onValue(http_parser *parser, const char *at, size_t n) {
-    HttpMessage &it = of(parser);
+    HttpMessageReader &it = of(parser);
     it.InValue = true;
     bool wanted = !it.WantedHeader.empty() &&
                   ::strcasecmp(it.Field.c_str(), it.WantedHeader.c_str()) == 0;
-    if (wanted && it.KeptHeader.size() + n <= MaxHeader)
-      it.KeptHeader.append(at, n);
+    if (wanted && it.CapturedHeader.size() + n <= MaxHeader)
+      it.CapturedHeader.append(at, n);
     return 0;
   }
   static int onBody(http_parser *parser, const char *at, size_t n) {
-    HttpMessage &it = of(parser);
+    HttpMessageReader &it = of(parser);
     it.Body.append(at, n);
     return it.Body.size() > MaxBody ? 1 : 0;
   }
   static int onComplete(http_parser *parser) {
-    HttpMessage &it = of(parser);
+    HttpMessageReader &it = of(parser);
     it.Done = true;
     it.KeepAlive = http_should_keep_alive(parser) != 0;
     http_parser_pause(parser, 1);
@@ -92,20 +92,22 @@
   }
 };
 
-HttpMessage::HttpMessage(http_parser_type type) : Type(type) { clear(); }
+HttpMessageReader::HttpMessageReader(http_parser_type type) : Type(type) {
+  reset();
+}
 
-void HttpMessage::clear() {
+void HttpMessageReader::reset() {
   http_parser_init(&Parser, Type);
   Parser.data = this;
   Done = false;
   Target.clear();
   Body.clear();
-  KeptHeader.clear();
+  CapturedHeader.clear();
   Field.clear();
   InValue = false;
 }
 
-bool HttpMessage::take(const char *bytes, size_t count) {
+bool HttpMessageReader::feed(const char *bytes, size_t count) {
   size_t n =
       http_parser_execute(&Parser, &HttpCallbacks::settings(), bytes, count);
   if (Done)
@@ -114,18 +116,18 @@
   return HTTP_PARSER_ERRNO(&Parser) == HPE_OK;
 }
 
-HttpClient::HttpClient(Loop &loop, uint32_t from, Address server)
+HttpClient::HttpClient(EventLoop &loop, uint32_t from, Address server)
     : Events(loop), From(from), Server(server) {}
 
-void HttpClient::call(const HttpCall &call, Handler done) {
+void HttpClient::call(const HttpRequest &call, Handler done) {
   Done = std::move(done);
   CalledAt = steadyNow();
   FirstByteAt.reset();
   Deadline = CalledAt + call.Timeout;
   SilenceLimit.reset();
-  if (call.LimitsSilence)
+  if (call.ExtendTimeoutOnData)
     SilenceLimit = call.Timeout;
-  In.clear();
+  In.reset();
   Out = call.Method + ' ' + call.Target +
         " HTTP/1.1\r\nHost: " + formatAddress(Server) + "\r\n";
   if (!call.Body.empty())
@@ -187,7 +189,7 @@
   }
   if (n > 0)
     Out.erase(0, static_cast<size_t>(n));
-  Events.change(Socket.get(), Out.empty() ? EPOLLIN : EPOLLIN | EPOLLOUT);
+  Events.modify(Socket.get(), Out.empty() ? EPOLLIN : EPOLLIN | EPOLLOUT);
 }
 
 void HttpClient::readIn() {
@@ -203,15 +205,15 @@
       FirstByteAt = now;
     if (SilenceLimit)
       Deadline = now + *SilenceLimit;
-    if (!Done || !In.take(buf.data(), static_cast<size_t>(n)))
-      return finish(tl::make_unexpected(HttpFailure::Unread));
-    if (!In.done())
+    if (!Done || !In.feed(buf.data(), static_cast<size_t>(n)))
+      return finish(tl::make_unexpected(HttpFailure::Unreadable));
+    if (!In.complete())
       continue;
-    HttpAnswer answer{.Status = In.status(),
-                      .Body = std::move(In.body()),
-                      .KeptHeader = In.keptHeader(),
-                      .FirstByteAfter = *FirstByteAt - CalledAt,
-                      .Took = steadyNow() - CalledAt};
+    HttpResponse answer{.Status = In.status(),
+                        .Body = std::move(In.body()),
+                        .CapturedHeader = In.capturedHeader(),
+                        .TimeToFirstByte = *FirstByteAt - CalledAt,
+                        .TotalTime = steadyNow() - CalledAt};
     return finish(std::move(answer));
   }
 }
@@ -248,7 +250,8 @@
                                    : HttpFailure::TimedOut));
 }
 
-HttpServer::HttpServer(Loop &loop, FileDescriptor listener, Handler handler)
+HttpServer::HttpServer(EventLoop &loop, FileDescriptor listener,
+                       Handler handler)
     : Events(loop), Listener(std::move(listener)), Answer(std::move(handler)) {
   Events.watch(Listener.get(), EPOLLIN, [this](uint32_t) { accept(); });
 }
@@ -294,14 +297,14 @@
   ssize_t n = ::recv(connection.Socket.get(), buf.data(), buf.size(), 0);
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
     return true;
-  if (n <= 0 || !connection.In.take(buf.data(), static_cast<size_t>(n)))
+  if (n <= 0 || !connection.In.feed(buf.data(), static_cast<size_t>(n)))
     return false;
-  if (!connection.In.done())
+  if (!connection.In.complete())
     return true;
   connection.LastUsed = steadyNow();
   connection.CloseAfter = !connection.In.keepAlive();
-  HttpAnswer answer = Answer(connection.In.target());
-  connection.In.clear();
+  HttpResponse answer = Answer(connection.In.target());
+  connection.In.reset();
   connection.Out +=
       "HTTP/1.1 " + std::to_string(answer.Status) +
       (answer.Status == HttpOk ? " OK" : " Error") +
@@ -320,7 +323,7 @@
     connection.Out.erase(0, static_cast<size_t>(n));
   if (connection.Out.empty() && connection.CloseAfter)
     return false;
-  Events.change(connection.Socket.get(),
+  Events.modify(connection.Socket.get(),
                 connection.Out.empty() ? EPOLLIN : EPOLLIN | EPOLLOUT);
   return true;
 }
@@ -330,7 +333,7 @@
   Connections.erase(fd);
 }
 
-void HttpServer::expire(Time now) {
+void HttpServer::closeIdleConnections(Time now) {
   std::vector<int> idle;
   for (const auto &[fd, it] : Connections)
     if (now - it->LastUsed > IdleConnection)
--- a/lib/edge/Http.h
+++ b/lib/edge/Http.h
@@ -4,7 +4,7 @@
 #ifndef CHICORYBANK_LIB_EDGE_HTTP_H
 #define CHICORYBANK_LIB_EDGE_HTTP_H
 
-#include "Loop.h"
+#include "EventLoop.h"
 
 #include <functional>
 #include <http_parser.h>
@@ -20,11 +20,11 @@
 inline constexpr int HttpNotFound = 404;
 inline constexpr int HttpGone = 410;
 inline constexpr int HttpPreconditionFailed = 412;
-inline constexpr int HttpTooMany = 429;
+inline constexpr int HttpTooManyRequests = 429;
 inline constexpr int HttpUnavailable = 503;
 
 /// A request of ours.
-struct HttpCall {
+struct HttpRequest {
   /// "GET", "POST" or "DELETE".
   std::string Method = "GET";
   /// Path and query, encoded.
@@ -32,53 +32,53 @@
   std::string Body;
   Duration Timeout = std::chrono::seconds(1);
   /// The time limit counts anew with all that arrives of the answer.
-  bool LimitsSilence = false;
+  bool ExtendTimeoutOnData = false;
 };
 
 /// A whole answer.
-struct HttpAnswer {
+struct HttpResponse {
   int Status = 0;
   std::string Body;
   std::string ContentType = "application/json";
   /// The value of the header that the client keeps; empty where it was absent.
-  std::string KeptHeader;
+  std::string CapturedHeader;
   /// From the call to the first byte, and to the last; of answers to calls of
   /// ours. What lies between is the time on the way, what comes before it the
   /// server's and the queue in front of it.
-  Duration FirstByteAfter = Duration::zero();
-  Duration Took = Duration::zero();
+  Duration TimeToFirstByte = Duration::zero();
+  Duration TotalTime = Duration::zero();
 };
 
 /// Why a call has no answer.
 enum class HttpFailure : uint8_t {
-  Refused,  ///< No connection: it had no effect.
-  Broken,   ///< The connection ended; it may have had an effect.
-  TimedOut, ///< No whole answer in time; it may have had an effect.
-  Unread,   ///< The answer can't be read.
+  Refused,    ///< No connection: it had no effect.
+  Broken,     ///< The connection ended; it may have had an effect.
+  TimedOut,   ///< No whole answer in time; it may have had an effect.
+  Unreadable, ///< The answer can't be read.
 };
 
 /// A word for logs.
 const char *httpFailureName(HttpFailure failure);
 
 /// Gathers one message from the bytes of a connection.
-class HttpMessage {
+class HttpMessageReader {
 public:
-  explicit HttpMessage(http_parser_type type);
-  HttpMessage(const HttpMessage &) = delete;
-  HttpMessage &operator=(const HttpMessage &) = delete;
+  explicit HttpMessageReader(http_parser_type type);
+  HttpMessageReader(const HttpMessageReader &) = delete;
+  HttpMessageReader &operator=(const HttpMessageReader &) = delete;
 
   /// Takes bytes. False: they are not HTTP, or too many.
-  bool take(const char *bytes, size_t count);
+  bool feed(const char *bytes, size_t count);
   /// The value of this header is kept; names are compared without case.
-  void keepHeader(std::string name) { WantedHeader = std::move(name); }
-  const std::string &keptHeader() const { return KeptHeader; }
-  bool done() const { return Done; }
+  void captureHeader(std::string name) { WantedHeader = std::move(name); }
+  const std::string &capturedHeader() const { return CapturedHeader; }
+  bool complete() const { return Done; }
   bool keepAlive() const { return KeepAlive; }
   int status() const { return Parser.status_code; }
   const std::string &target() const { return Target; }
   std::string &body() { return Body; }
   /// Ready for the next message.
-  void clear();
+  void reset();
 
 private:
   friend struct HttpCallbacks;
@@ -90,7 +90,7 @@
   std::string Target;
   std::string Body;
   std::string WantedHeader;
-  std::string KeptHeader;
+  std::string CapturedHeader;
   /// The name of the header that is being read; it may come in pieces.
   std::string Field;
   bool InValue = false;
@@ -99,19 +99,19 @@
 /// Calls one server, one call at a time, on a connection that is kept.
 class HttpClient {
 public:
-  using Result = tl::expected<HttpAnswer, HttpFailure>;
+  using Result = tl::expected<HttpResponse, HttpFailure>;
   using Handler = std::function<void(Result)>;
 
   /// Connections come from the IP `from`.
-  HttpClient(Loop &loop, uint32_t from, Address server);
+  HttpClient(EventLoop &loop, uint32_t from, Address server);
   ~HttpClient() { close(); }
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
   /// Starts a call; none may be under way. `done` is called from the loop.
-  void call(const HttpCall &call, Handler done);
+  void call(const HttpRequest &call, Handler done);
   /// Answers carry the value of this header.
-  void keepHeader(std::string name) { In.keepHeader(std::move(name)); }
+  void captureHeader(std::string name) { In.captureHeader(std::move(name)); }
   bool busy() const { return static_cast<bool>(Done); }
   /// Ends the connection and forgets a call that is under way.
   void close();
@@ -127,7 +127,7 @@
   void readIn();
   void finish(Result result);
 
-  Loop &Events;
+  EventLoop &Events;
   uint32_t From;
   Address Server;
   FileDescriptor Socket;
@@ -136,7 +136,7 @@
   /// in between, which a fresh one has not.
   bool Used = false;
   std::string Out;
-  HttpMessage In{HTTP_RESPONSE};
+  HttpMessageReader In{HTTP_RESPONSE};
   Handler Done;
   Time Deadline = Time::max();
   /// Of a call whose time limit counts anew with all that arrives.
@@ -148,20 +148,20 @@
 /// Answers requests at once, from one handler.
 class HttpServer {
 public:
-  using Handler = std::function<HttpAnswer(const std::string &target)>;
+  using Handler = std::function<HttpResponse(const std::string &target)>;
 
-  HttpServer(Loop &loop, FileDescriptor listener, Handler handler);
+  HttpServer(EventLoop &loop, FileDescriptor listener, Handler handler);
   ~HttpServer();
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
 
   /// Closes connections that have been idle for long; call it now and then.
-  void expire(Time now);
+  void closeIdleConnections(Time now);
 
 private:
   struct Connection {
     FileDescriptor Socket;
-    HttpMessage In{HTTP_REQUEST};
+    HttpMessageReader In{HTTP_REQUEST};
     std::string Out;
     Time LastUsed;
     bool CloseAfter = false;
@@ -173,7 +173,7 @@
   bool flush(Connection &connection);
   void close(int fd);
 
-  Loop &Events;
+  EventLoop &Events;
   FileDescriptor Listener;
   Handler Answer;
   std::map<int, std::unique_ptr<Connection>> Connections;
--- a/lib/edge/Log.cpp
+++ b/lib/edge/Log.cpp
@@ -25,16 +25,16 @@
   return *this;
 }
 
-LogLine &LogLine::because(Reason why) {
+LogLine &LogLine::withReason(Reason why) {
   std::string name(reasonName(why));
-  Kind = Event + ' ' + name;
+  RateLimitKey = Event + ' ' + name;
   return with("why", name);
 }
 
-LogLine lineOf(const token::Decision &decision, Time now) {
+LogLine decisionLine(const token::Decision &decision, Time now) {
   LogLine out(decision.What);
   if (decision.Why != Reason::None)
-    out.because(decision.Why);
+    out.withReason(decision.Why);
   if (decision.Flow.Source) {
     out.with("caller", formatAddress(decision.Flow.Source));
     out.with("route", formatAddress(decision.Flow.Destination));
@@ -62,7 +62,7 @@
       duration_cast<milliseconds>(system_clock::now().time_since_epoch())
           .count();
   constexpr int64_t MsPerSecond = 1000;
-  Repeats &repeats = Seen[line.kind()];
+  RateCounter &repeats = Seen[line.rateLimitKey()];
   if (repeats.Second != ms / MsPerSecond) {
     repeats.Second = ms / MsPerSecond;
     repeats.Written = 0;
--- a/lib/edge/Log.h
+++ b/lib/edge/Log.h
@@ -25,19 +25,21 @@
   const std::string &event() const { return Event; }
   /// Lines of one kind share a bound; each reason is a kind of its own, so that
   /// many of one never hide another.
-  const std::string &kind() const { return Kind.empty() ? Event : Kind; }
-  LogLine &because(Reason why);
+  const std::string &rateLimitKey() const {
+    return RateLimitKey.empty() ? Event : RateLimitKey;
+  }
+  LogLine &withReason(Reason why);
   const std::string &text() const { return Text; }
 
 private:
   std::string Event;
-  std::string Kind;
+  std::string RateLimitKey;
   std::string Text;
 };
 
 /// The line of a decision of the core. Lines are written in batches, so it
 /// says how long ago the decision was made.
-LogLine lineOf(const token::Decision &decision, Time now);
+LogLine decisionLine(const token::Decision &decision, Time now);
 
 /// Writes lines to a descriptor and never waits for it.
 ///
@@ -52,7 +54,7 @@
   void write(const LogLine &line);
 
 private:
-  struct Repeats {
+  struct RateCounter {
     int64_t Second = 0;
     uint32_t Written = 0;
     uint64_t LeftOut = 0;
@@ -60,7 +62,7 @@
 
   int Fd;
   std::string Instance;
-  std::map<std::string, Repeats> Seen;
+  std::map<std::string, RateCounter> Seen;
 };
 
 } // namespace chicory::edge
--- a/lib/edge/Metrics.cpp
+++ b/lib/edge/Metrics.cpp
@@ -53,9 +53,9 @@
 }
 
 void registryFigures(std::ostringstream &out, const NewsStats &news,
-                     const RegistryCounts &calls) {
+                     const RegistryCallCounts &calls) {
   byKind(out, "chicory_registry_calls_total", "Registry calls, by kind",
-         calls.Made);
+         calls.Sent);
   byKind(out, "chicory_registry_refused_total",
          "Registry calls refused with 429 or 503, by kind", calls.Refused);
   single(out, "chicory_registry_failures_total", "counter",
@@ -88,7 +88,7 @@
 }
 
 void peerFigures(std::ostringstream &out, const NewsStats &news,
-                 const PeerStats &peers) {
+                 const PeerMessageStats &peers) {
   single(out, "chicory_news_pushes_total", "counter",
          "Pushes of news from other instances", news.Pushes);
   single(out, "chicory_news_pulls_total", "counter",
@@ -100,17 +100,17 @@
   single(out, "chicory_peer_bytes_total", "counter",
          "Bytes of messages sent to other instances", peers.Bytes);
   single(out, "chicory_bad_peer_messages_total", "counter",
-         "Messages from instances that can't be read", peers.Bad);
+         "Messages from instances that can't be read", peers.Malformed);
   single(out, "chicory_doubts_heard_total", "counter",
          "Messages of instances that can't reach a backend server",
-         peers.Doubts);
+         peers.UnreachableReports);
 }
 
 } // namespace
 
 std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &news,
-                              const RegistryCounts &calls,
-                              const PeerStats &peers,
+                              const RegistryCallCounts &calls,
+                              const PeerMessageStats &peers,
                               const WriteStats &recorder) {
   std::ostringstream out;
   byReason(out, "chicory_drops_total", "Packets dropped, by reason",
@@ -147,7 +147,7 @@
          "Datagrams that can't be read", edge.BadPackets);
   single(out, "chicory_old_openings_total", "counter",
          "Openings dropped because they waited while the process stood still",
-         edge.OldOpenings);
+         edge.StaleOpenings);
   single(out, "chicory_send_failures_total", "counter",
          "Datagrams that the system refused", edge.SendFailures);
   single(out, "chicory_log_lines_dropped_total", "counter",
@@ -167,14 +167,15 @@
     out << "chicory_zone_drained_seconds{zone=\"" << zone << "\"} "
         << std::chrono::duration<double>(steadyNow() - since).count() << '\n';
   single(out, "chicory_news_age_seconds", "gauge",
-         "Since the news was last shown to be current", edge.NewsAgeSeconds);
+         "Since the news was last shown to be current", edge.UpdateAgeSeconds);
   return out.str();
 }
 
-HttpAnswer answerMetrics(Shared &shared, const NewsDuty &news) {
+HttpResponse metricsResponse(SharedState &shared, const RegistrySync &news) {
   return {.Status = HttpOk,
-          .Body = renderEdgeMetrics(shared.stats(), news.stats(), news.calls(),
-                                    news.peerStats(), news.recorderStats()),
+          .Body =
+              renderEdgeMetrics(shared.stats(), news.stats(), news.callCounts(),
+                                news.peerStats(), news.routeHistoryStats()),
           .ContentType = "text/plain; version=0.0.4"};
 }
 
--- a/lib/edge/Metrics.h
+++ b/lib/edge/Metrics.h
@@ -4,19 +4,19 @@
 #define CHICORYBANK_LIB_EDGE_METRICS_H
 
 #include "Http.h"
-#include "NewsDuty.h"
-#include "Shared.h"
+#include "RegistrySync.h"
+#include "SharedState.h"
 
 namespace chicory::edge {
 
 /// All figures as text.
 std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &news,
-                              const RegistryCounts &calls,
-                              const PeerStats &peers,
+                              const RegistryCallCounts &calls,
+                              const PeerMessageStats &peers,
                               const WriteStats &recorder);
 
 /// Answers "/metrics".
-HttpAnswer answerMetrics(Shared &shared, const NewsDuty &news);
+HttpResponse metricsResponse(SharedState &shared, const RegistrySync &news);
 
 } // namespace chicory::edge
 
--- a/lib/edge/NewsReader.cpp
+++ b/lib/edge/NewsReader.cpp
@@ -239,7 +239,7 @@
 
 void NewsReader::failed(int status, Time now) {
   ++Stats.Failures;
-  if (status == HttpTooMany || status == HttpUnavailable)
+  if (status == HttpTooManyRequests || status == HttpUnavailable)
     ++Stats.Refused;
   std::uniform_real_distribution<double> jitter(0.75, 1.25);
   DueAt = now + std::chrono::duration_cast<Duration>(Retry * jitter(Random));
--- a/lib/edge/PacketDuty.cpp
+++ b/lib/edge/PacketWorker.cpp
@@ -1,4 +1,4 @@
-#include "PacketDuty.h"
+#include "PacketWorker.h"
 
 #include <cerrno>
 #include <sys/epoll.h>
@@ -20,7 +20,7 @@
 
 SendBatch::SendBatch(int socket) : Socket(socket) {}
 
-Framing::Buffer SendBatch::next() {
+Framing::Buffer SendBatch::nextBuffer() {
   if (Count == Size)
     flush();
   return Framing::Buffer(Buffers[Count]);
@@ -53,8 +53,8 @@
   Count = 0;
 }
 
-PacketDuty::PacketDuty(const EdgeSettings &settings, const Framing &framing,
-                       FileDescriptor packets, Shared &shared)
+PacketWorker::PacketWorker(const EdgeSettings &settings, const Framing &framing,
+                           FileDescriptor packets, SharedState &shared)
     : Frames(framing), Common(shared), Packets(std::move(packets)),
       Core(settings.Core), Batch(Packets.get()), Probes(Events, settings.Ip),
       Turns(LongestTurn), Hold(settings.Core.Use.HoldAtStart) {
@@ -66,7 +66,7 @@
 /// of them return after an outage; one sees drops for `no_match` right after
 /// the start. Packets that have waited for longer than their callers take to
 /// send them again are worth nothing, so the wait has an end.
-void PacketDuty::beginReading(Time now) {
+void PacketWorker::beginReading(Time now) {
   bool wait = Hold && !Core.carries() && !Core.serves() && now < HoldUntil;
   if (Reading || wait)
     return;
@@ -74,14 +74,14 @@
   Events.watch(Packets.get(), EPOLLIN, [this](uint32_t) { readPackets(); });
 }
 
-void PacketDuty::run() {
+void PacketWorker::run() {
   HoldUntil = steadyNow() + HoldAtStart;
-  while (!Common.Ended) {
+  while (!Common.Stopped) {
     Time now = steadyNow();
     Time next = std::min({Core.nextTick(now), PublishAt, Probes.nextAt()});
     Events.wait(std::max(next - now, Duration::zero()));
     now = steadyNow();
-    Turns.turn(bootTimeNow());
+    Turns.recordTurn(bootTimeNow());
     takeNews(now);
     beginReading(now);
     takeProbes(now);
@@ -90,7 +90,7 @@
   }
 }
 
-void PacketDuty::readPackets() {
+void PacketWorker::readPackets() {
   std::array<iovec, SendBatch::Size> vectors{};
   std::array<mmsghdr, SendBatch::Size> messages{};
   for (size_t n = 0; n < SendBatch::Size; ++n) {
@@ -102,8 +102,8 @@
   int count = ::recvmmsg(Packets.get(), messages.data(), SendBatch::Size,
                          MSG_DONTWAIT, nullptr);
   Time now = steadyNow();
-  if (Turns.stoodStill(bootTimeNow()))
-    OldOpenings = true;
+  if (Turns.wasSuspended(bootTimeNow()))
+    StaleOpenings = true;
   for (int n = 0; n < count; ++n) {
     token::Bytes raw(Received[n].data(), messages[n].msg_len);
     auto head = Frames.read(raw);
@@ -114,35 +114,35 @@
     // A copy of an old opening may have opened the flow elsewhere meanwhile. A
     // second server that answers would get the flow's token; a caller that
     // still waits sends a copy.
-    if (OldOpenings && head->Open) {
-      ++Stats.OldOpenings;
+    if (StaleOpenings && head->Open) {
+      ++Stats.StaleOpenings;
       continue;
     }
     handle(token::PacketSeen{.Head = *head, .Raw = raw}, now);
   }
   if (count < static_cast<int>(SendBatch::Size))
-    OldOpenings = false;
+    StaleOpenings = false;
   Batch.flush();
   Stats.BatchTime.add(steadyNow() - now);
 }
 
-void PacketDuty::handle(const token::Event &event, Time now) {
+void PacketWorker::handle(const token::Event &event, Time now) {
   Core.handle(event, now, Actions);
   carryOut();
 }
 
-void PacketDuty::carryOut() {
+void PacketWorker::carryOut() {
   for (const token::Action &it : Actions) {
     if (const auto *forward = std::get_if<token::Forward>(&it)) {
-      size_t size = Frames.writeForward(*forward, Batch.next());
+      size_t size = Frames.writeForward(*forward, Batch.nextBuffer());
       Batch.add(size, forward->Where);
     } else if (const auto *reset = std::get_if<token::ResetFlow>(&it)) {
-      size_t size = Frames.writeReset(*reset, Batch.next());
+      size_t size = Frames.writeReset(*reset, Batch.nextBuffer());
       Batch.add(size, Frames.callerAddress(reset->Flow));
     } else if (const auto *probe = std::get_if<token::ProbeBackend>(&it)) {
       Probes.start(*probe, steadyNow());
     } else if (const auto *doubt = std::get_if<token::ShareDoubt>(&it)) {
-      if (Common.Doubts.try_enqueue(doubt->Id))
+      if (Common.UnreachableBackends.try_enqueue(doubt->Id))
         Common.ControlWakeup.wake();
     } else if (const auto *decision = std::get_if<token::Decision>(&it)) {
       if (!Common.Decisions.try_enqueue(*decision))
@@ -152,30 +152,30 @@
   Actions.clear();
 }
 
-void PacketDuty::takeNews(Time now) {
+void PacketWorker::takeNews(Time now) {
   token::Event event;
-  while (Common.News.try_dequeue(event))
+  while (Common.Updates.try_dequeue(event))
     handle(event, now);
   Batch.flush();
   if (Core.serves())
-    Common.Serves = true;
+    Common.ReadyToServe = true;
 }
 
-void PacketDuty::takeProbes(Time now) {
+void PacketWorker::takeProbes(Time now) {
   std::vector<token::ProbeEnded> ended = Probes.takeEnded(now);
   for (const token::ProbeEnded &it : ended)
     handle(it, now);
   Batch.flush();
 }
 
-void PacketDuty::tick(Time now) {
+void PacketWorker::tick(Time now) {
   handle(token::Tick{}, now);
   Batch.flush();
   if (now >= PublishAt)
     publish(now);
 }
 
-void PacketDuty::publish(Time now) {
+void PacketWorker::publish(Time now) {
   PublishAt = now + PublishEvery;
   Stats.Core = Core.stats();
   Stats.SendFailures = Batch.failures();
@@ -184,7 +184,7 @@
   Stats.Routes = Core.routes().size();
   Stats.RuleVersion = Core.routes().version().Value;
   Stats.Drained = Core.backends().drainedZones();
-  Stats.NewsAgeSeconds =
+  Stats.UpdateAgeSeconds =
       std::chrono::duration<double>(now - Core.newsCurrentAt()).count();
   Common.publish(Stats);
 }
--- a/lib/edge/PacketDuty.h
+++ b/lib/edge/PacketWorker.h
@@ -1,12 +1,12 @@
 // The packet thread: reads callers' packets in batches, lets the core decide,
 // sends what it says.
 
-#ifndef CHICORYBANK_LIB_EDGE_PACKETDUTY_H
-#define CHICORYBANK_LIB_EDGE_PACKETDUTY_H
+#ifndef CHICORYBANK_LIB_EDGE_PACKETWORKER_H
+#define CHICORYBANK_LIB_EDGE_PACKETWORKER_H
 
-#include "PauseWatch.h"
-#include "ReachProbes.h"
-#include "Shared.h"
+#include "BackendProber.h"
+#include "SharedState.h"
+#include "SuspensionDetector.h"
 
 #include "chicorybank/edge/Framing.h"
 #include "chicorybank/edge/Settings.h"
@@ -23,7 +23,7 @@
 
   explicit SendBatch(int socket);
   /// Room for the next datagram; sends first where there is none.
-  Framing::Buffer next();
+  Framing::Buffer nextBuffer();
   /// Takes what was written to `next`.
   void add(size_t size, Address to);
   void flush();
@@ -40,10 +40,10 @@
 };
 
 /// Runs on a thread of its own until `Shared::Ended`.
-class PacketDuty {
+class PacketWorker {
 public:
-  PacketDuty(const EdgeSettings &settings, const Framing &framing,
-             FileDescriptor packets, Shared &shared);
+  PacketWorker(const EdgeSettings &settings, const Framing &framing,
+               FileDescriptor packets, SharedState &shared);
 
   void run();
 
@@ -58,13 +58,13 @@
   void publish(Time now);
 
   const Framing &Frames;
-  Shared &Common;
+  SharedState &Common;
   FileDescriptor Packets;
-  Loop Events;
+  EventLoop Events;
   token::Core Core;
   token::Actions Actions;
   SendBatch Batch;
-  ReachProbes Probes;
+  BackendProber Probes;
   std::array<std::array<std::byte, Framing::MaxDatagram>, SendBatch::Size>
       Received;
   EdgeStats Stats;
@@ -72,11 +72,11 @@
   /// Until when packets wait for the first news.
   Time HoldUntil;
   bool Reading = false;
-  PauseWatch Turns;
+  SuspensionDetector Turns;
   /// Packets before the first news wait for it.
   bool Hold;
   /// Openings in the socket may be from before a pause.
-  bool OldOpenings = false;
+  bool StaleOpenings = false;
 };
 
 } // namespace chicory::edge
--- a/lib/edge/PeerPages.cpp
+++ b/lib/edge/PeerPages.cpp
@@ -29,25 +29,25 @@
                   .Revision = static_cast<int64_t>(*revision)};
 }
 
-void takeResult(const HttpClient::Result &result, PageRead &out) {
+void takeResult(const HttpClient::Result &result, PageResult &out) {
   if (!result) {
-    out.Why = httpFailureName(result.error());
+    out.Error = httpFailureName(result.error());
     return;
   }
-  out.Gone = result->Status == HttpGone;
+  out.HistoryTooShort = result->Status == HttpGone;
   if (result->Status != HttpOk) {
-    out.Why = "status " + std::to_string(result->Status);
+    out.Error = "status " + std::to_string(result->Status);
     return;
   }
   if (auto page = decodePage(result->Body))
     out.Page = std::move(*page);
   else
-    out.Why = reasonName(page.error());
+    out.Error = reasonName(page.error());
 }
 
 } // namespace
 
-HttpAnswer PeerPages::answer(const std::string &target) {
+HttpResponse PeerPages::answer(const std::string &target) {
   constexpr std::string_view Whole = "/news";
   constexpr std::string_view After = "/news?after=";
   auto since =
@@ -80,10 +80,10 @@
     target += "?after=" + positionText(*since);
   Client->call({.Target = std::move(target),
                 .Timeout = PeerTimeout,
-                .LimitsSilence = true},
+                .ExtendTimeoutOnData = true},
                [peer, whole = !since,
                 done = std::move(done)](const HttpClient::Result &result) {
-                 PageRead out{.From = peer, .Whole = whole};
+                 PageResult out{.Peer = peer, .Full = whole};
                  takeResult(result, out);
                  done(std::move(out));
                });
--- a/lib/edge/PeerPages.h
+++ b/lib/edge/PeerPages.h
@@ -16,30 +16,30 @@
 namespace chicory::edge {
 
 /// How the reading of a page ended.
-struct PageRead {
-  InstanceId From;
+struct PageResult {
+  InstanceId Peer;
   /// Everything, not the changes behind a position.
-  bool Whole = false;
+  bool Full = false;
   std::optional<ItemPage> Page;
   /// The sender's history does not reach back to the position.
-  bool Gone = false;
+  bool HistoryTooShort = false;
   /// Why there is no page, for the log; empty where there is one.
-  std::string Why;
+  std::string Error;
 };
 
 /// Serves pages of this instance's copy, and reads those of one other instance
 /// at a time.
 class PeerPages {
 public:
-  using Handler = std::function<void(PageRead)>;
+  using Handler = std::function<void(PageResult)>;
 
   /// Connections come from the IP `from`. `copy` is what others read.
-  PeerPages(Loop &loop, uint32_t from, const Mirror &copy)
+  PeerPages(EventLoop &loop, uint32_t from, const Mirror &copy)
       : Events(loop), From(from), Copy(copy) {}
 
   /// Answers another instance: "/news" is everything, "/news?after=2.415" the
   /// changes behind a position.
-  HttpAnswer answer(const std::string &target);
+  HttpResponse answer(const std::string &target);
 
   bool busy() const { return Client && Client->busy(); }
   /// Reads the changes behind a position, or everything. None may be under way.
@@ -58,7 +58,7 @@
     std::string Bytes;
   };
 
-  Loop &Events;
+  EventLoop &Events;
   uint32_t From;
   const Mirror &Copy;
   std::unique_ptr<HttpClient> Client;
--- a/lib/edge/RegistryClient.cpp
+++ b/lib/edge/RegistryClient.cpp
@@ -30,21 +30,22 @@
   return "invalid";
 }
 
-std::string RegistryCounts::text() const {
+std::string RegistryCallCounts::text() const {
   std::string out;
   for (size_t n = 0; n < CallKindCount; ++n) {
-    if (Made[n] == 0)
+    if (Sent[n] == 0)
       continue;
     out += out.empty() ? "" : ",";
     out += callKindName(static_cast<CallKind>(n));
-    out += ':' + std::to_string(Made[n]);
+    out += ':' + std::to_string(Sent[n]);
   }
   return out;
 }
 
-RegistryCounts &RegistryCounts::operator+=(const RegistryCounts &other) {
+RegistryCallCounts &
+RegistryCallCounts::operator+=(const RegistryCallCounts &other) {
   for (size_t n = 0; n < CallKindCount; ++n) {
-    Made[n] += other.Made[n];
+    Sent[n] += other.Sent[n];
     Refused[n] += other.Refused[n];
   }
   return *this;
@@ -53,15 +54,15 @@
 void RegistryClient::call(RegistryCall call, Duration timeout,
                           HttpClient::Handler done) {
   auto kind = static_cast<size_t>(call.Kind);
-  ++Counts.Made[kind];
+  ++Counts.Sent[kind];
   Http.call(
       {.Method = std::move(call.Method),
        .Target = std::move(call.Target),
        .Body = std::move(call.Body),
        .Timeout = timeout,
-       .LimitsSilence = true},
+       .ExtendTimeoutOnData = true},
       [this, kind, done = std::move(done)](const HttpClient::Result &result) {
-        bool refused = result && (result->Status == HttpTooMany ||
+        bool refused = result && (result->Status == HttpTooManyRequests ||
                                   result->Status == HttpUnavailable);
         if (refused)
           ++Counts.Refused[kind];
--- a/lib/edge/RegistryClient.h
+++ b/lib/edge/RegistryClient.h
@@ -12,25 +12,25 @@
 namespace chicory::edge {
 
 /// Calls that were made. Counters never fall.
-struct RegistryCounts {
-  std::array<uint64_t, CallKindCount> Made{};
+struct RegistryCallCounts {
+  std::array<uint64_t, CallKindCount> Sent{};
   /// Answered with 429 or 503.
   std::array<uint64_t, CallKindCount> Refused{};
 
   /// Calls made, for a log line: "list:2,watch:7"; kinds without any are left
   /// out.
   std::string text() const;
-  RegistryCounts &operator+=(const RegistryCounts &other);
+  RegistryCallCounts &operator+=(const RegistryCallCounts &other);
 };
 
 /// One connection to the registry; one call is under way at a time.
 class RegistryClient {
 public:
   /// Connections come from the IP `from`.
-  RegistryClient(Loop &loop, uint32_t from, Address registry,
+  RegistryClient(EventLoop &loop, uint32_t from, Address registry,
                  const RegistryDialect &dialect)
       : Http(loop, from, registry) {
-    Http.keepHeader(dialect.generationHeader());
+    Http.captureHeader(dialect.generationHeader());
   }
 
   /// `timeout`: without any byte of the answer.
@@ -39,21 +39,21 @@
   Time deadline() const { return Http.deadline(); }
   /// Ends a call whose time is over.
   void expire(Time now) { Http.expire(now); }
-  const RegistryCounts &counts() const { return Counts; }
+  const RegistryCallCounts &counts() const { return Counts; }
 
 private:
   HttpClient Http;
-  RegistryCounts Counts;
+  RegistryCallCounts Counts;
 };
 
 /// An answer as the state machines take it.
-inline NewsAnswer newsAnswer(const HttpClient::Result &result,
-                             const RegistryDialect &dialect) {
+inline NewsAnswer toRegistryAnswer(const HttpClient::Result &result,
+                                   const RegistryDialect &dialect) {
   if (!result)
     return {};
   return {.Status = result->Status,
           .Body = result->Body,
-          .Generation = dialect.readGeneration(result->KeptHeader)};
+          .Generation = dialect.readGeneration(result->CapturedHeader)};
 }
 
 } // namespace chicory::edge
--- a/lib/edge/NewsDuty.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -1,4 +1,4 @@
-#include "NewsDuty.h"
+#include "RegistrySync.h"
 
 #include <algorithm>
 #include <array>
@@ -19,17 +19,18 @@
 
 } // namespace
 
-NewsDuty::NewsDuty(Loop &loop, Log &log, const EdgeSettings &settings,
-                   const RegistryDialect &dialect, FileDescriptor socket,
-                   Shared &shared)
+RegistrySync::RegistrySync(EventLoop &loop, Log &log,
+                           const EdgeSettings &settings,
+                           const RegistryDialect &dialect,
+                           FileDescriptor socket, SharedState &shared)
     : Lines(log), Settings(settings), Dialect(dialect), Common(shared),
       Events(loop), Socket(std::move(socket)),
-      Reader(dialect, settings.News, settings.Core.Seed, settings.Zone),
+      Reader(dialect, settings.Watcher, settings.Core.Seed, settings.Zone),
       Spread({.Self = InstanceId{settings.Ip},
               .Zone = settings.Zone,
-              .Pace = settings.News.Pace,
+              .Pace = settings.Watcher.Pace,
               .ApplyWithin = settings.Core.ApplyWithin,
-              .RetryMost = settings.News.RetryMost,
+              .RetryMost = settings.Watcher.RetryMost,
               .Seed = settings.Core.Seed}),
       Records(loop, log, settings, dialect, Reader.mirror()),
       Registry(loop, settings.Ip, settings.Registry, dialect),
@@ -39,13 +40,13 @@
   Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { readPushes(); });
 }
 
-void NewsDuty::run(Time now) {
+void RegistrySync::run(Time now) {
   Registry.expire(now);
   Pages.expire(now);
   passNews();
   shareDoubts(now);
   learnRecord(now);
-  Reader.heard(Records.takeTold(), now);
+  Reader.heard(Records.takeNewGeneration(), now);
   if (Reader.told())
     Records.learnGeneration(Reader.told());
   if (!Leaving) {
@@ -57,7 +58,7 @@
   remindOthers(now);
 }
 
-Time NewsDuty::nextAt() const {
+Time RegistrySync::nextAt() const {
   Time out = std::min(Registry.deadline(), Pages.deadline());
   if (Reader.started())
     out = std::min(out, Records.nextAt(mayWrite(), Spread.patience()));
@@ -68,7 +69,7 @@
   return out;
 }
 
-void NewsDuty::callRegistry(Time now) {
+void RegistrySync::callRegistry(Time now) {
   if (Registry.busy())
     return;
   std::optional<NewsCall> call = Reader.next(now);
@@ -83,7 +84,7 @@
 }
 
 /// Where the time of a start goes: one line for each call until all is known.
-void NewsDuty::noteStart(CallKind kind, const HttpClient::Result &result) {
+void RegistrySync::noteStart(CallKind kind, const HttpClient::Result &result) {
   if (Reader.complete() || !result)
     return;
   using std::chrono::duration_cast;
@@ -95,29 +96,29 @@
                   .with("kind", callKindName(kind))
                   .with("status", result->Status)
                   .with("since_start_ms", ms(steadyNow() - StartedAt))
-                  .with("first_byte_ms", ms(result->FirstByteAfter))
-                  .with("took_ms", ms(result->Took))
+                  .with("first_byte_ms", ms(result->TimeToFirstByte))
+                  .with("took_ms", ms(result->TotalTime))
                   .with("bytes", static_cast<int64_t>(result->Body.size())));
 }
 
-RegistryCounts NewsDuty::calls() const {
-  RegistryCounts out = Registry.counts();
-  return out += Records.calls();
+RegistryCallCounts RegistrySync::callCounts() const {
+  RegistryCallCounts out = Registry.counts();
+  return out += Records.callCounts();
 }
 
 /// Comes after the news was passed on: callers who wait for the first news
 /// must not wait for this as well.
-void NewsDuty::learnRecord(Time now) {
+void RegistrySync::learnRecord(Time now) {
   if (!std::exchange(RoutesChanged, false))
     return;
-  Records.learn(Reader.mirror().routes(), Reader.routeRecords(), now);
+  Records.learnRoutes(Reader.mirror().routes(), Reader.routeRecords(), now);
 }
 
-void NewsDuty::takeAnswer(const HttpClient::Result &result) {
+void RegistrySync::takeAnswer(const HttpClient::Result &result) {
   Time now = steadyNow();
   std::vector<token::Event> news;
   Position before = Reader.mirror().position();
-  bool learned = Reader.answered(newsAnswer(result, Dialect), now, news);
+  bool learned = Reader.answered(toRegistryAnswer(result, Dialect), now, news);
   noteRestore(before, InstanceId{});
   tell(std::move(news), InstanceId{}, now);
   if (!result)
@@ -135,7 +136,7 @@
 
 /// `copy_revision` above `revision`: what was read in between is lost in the
 /// registry. `held` items of it wait for being written again.
-void NewsDuty::noteRestore(const Position &before, InstanceId from) {
+void RegistrySync::noteRestore(const Position &before, InstanceId from) {
   Position after = Reader.mirror().position();
   if (before == Position{} || before.Generation == after.Generation)
     return;
@@ -149,7 +150,8 @@
           .with("held", static_cast<int64_t>(Reader.mirror().heldCount())));
 }
 
-void NewsDuty::tell(std::vector<token::Event> news, InstanceId from, Time now) {
+void RegistrySync::tell(std::vector<token::Event> news, InstanceId from,
+                        Time now) {
   for (token::Event &it : news) {
     if (const auto *drain = std::get_if<token::ZoneDrainLearned>(&it))
       noteDrain(*drain, from);
@@ -167,15 +169,15 @@
   if (Reader.peers() != Others.known())
     takePeers(now);
   auto own = Others.known().find(InstanceId{Settings.Ip});
-  Records.seen(own == Others.known().end() ? nullptr : &own->second,
-               Reader.currentAt());
+  Records.learnOwnRecord(own == Others.known().end() ? nullptr : &own->second,
+                         Reader.currentAt());
   Records.learnDirectory(Reader.directoryNote(), now);
 }
 
 /// From whom an order came shows whether the registry was asked or a neighbour
 /// passed it on; when it is in force follows as `zone_drained`.
-void NewsDuty::noteDrain(const token::ZoneDrainLearned &drain,
-                         InstanceId from) {
+void RegistrySync::noteDrain(const token::ZoneDrainLearned &drain,
+                             InstanceId from) {
   Lines.write(LogLine("zone_drain_learned")
                   .with("zone", drain.Zone)
                   .with("active", drain.Active ? 1 : 0)
@@ -183,7 +185,7 @@
                   .with("from", senderName(from)));
 }
 
-void NewsDuty::takePeers(Time now) {
+void RegistrySync::takePeers(Time now) {
   Others.learn(Reader.peers(), now);
   token::InstancesLearned instances;
   for (const auto &[id, peer] : Others.known())
@@ -195,15 +197,15 @@
   Reader.setPatience(Spread.patience(), Spread.retryMost());
 }
 
-void NewsDuty::passNews() {
+void RegistrySync::passNews() {
   if (Pending.empty())
     return;
-  while (!Pending.empty() && Common.News.try_enqueue(Pending.front()))
+  while (!Pending.empty() && Common.Updates.try_enqueue(Pending.front()))
     Pending.pop_front();
   Common.PacketWakeup.wake();
 }
 
-void NewsDuty::readPushes() {
+void RegistrySync::readPushes() {
   std::array<char, ReadBytes> buf;
   Time now = steadyNow();
   for (int n = 0; n < ReadsAtOnce; ++n) {
@@ -212,7 +214,7 @@
       return;
     auto message = decodeDatagram({buf.data(), static_cast<size_t>(size)});
     if (!message)
-      ++Traffic.Bad;
+      ++Traffic.Malformed;
     else if (auto *push = std::get_if<NewsPush>(&*message))
       takePush(*push, now);
     else if (auto *doubt = std::get_if<Doubt>(&*message))
@@ -222,7 +224,7 @@
   }
 }
 
-void NewsDuty::takeFragment(Fragment fragment, Time now) {
+void RegistrySync::takeFragment(Fragment fragment, Time now) {
   std::optional<std::string> bytes = Fragments.take(std::move(fragment));
   if (!bytes)
     return;
@@ -230,20 +232,20 @@
   if (push)
     takePush(*push, now);
   else
-    ++Traffic.Bad;
+    ++Traffic.Malformed;
 }
 
 /// A server that died is found by whoever had requests there. Told of it, the
 /// others find out before they lose requests of their own.
-void NewsDuty::shareDoubts(Time now) {
+void RegistrySync::shareDoubts(Time now) {
   token::BackendId id;
-  while (Common.Doubts.try_dequeue(id))
+  while (Common.UnreachableBackends.try_dequeue(id))
     if (Doubts.isNew(id, now))
       sendDoubt(id, true);
 }
 
-void NewsDuty::takeDoubt(const Doubt &doubt, Time now) {
-  ++Traffic.Doubts;
+void RegistrySync::takeDoubt(const Doubt &doubt, Time now) {
+  ++Traffic.UnreachableReports;
   if (!Doubts.isNew(doubt.Backend, now))
     return;
   Pending.emplace_back(token::BackendDoubted{doubt.Backend});
@@ -251,14 +253,14 @@
   sendDoubt(doubt.Backend, false);
 }
 
-void NewsDuty::sendDoubt(token::BackendId id, bool own) {
+void RegistrySync::sendDoubt(token::BackendId id, bool own) {
   std::string bytes =
       encodeDoubt({.Sender = InstanceId{Settings.Ip}, .Backend = id});
   for (Address it : Spread.targets(own))
     send(bytes, it);
 }
 
-void NewsDuty::takePush(const NewsPush &push, Time now) {
+void RegistrySync::takePush(const NewsPush &push, Time now) {
   if (Reader.needsSeed(push))
     return pullSeed(push.Sender);
   Time before = Reader.currentAt();
@@ -268,13 +270,13 @@
   if (behind)
     return pull(push.Sender, !Reader.complete());
   // Half a pace newer than what was passed on last: worth a datagram to each.
-  bool newer = Reader.currentAt() - PushedAsOf >= Settings.News.Pace / 2 ||
+  bool newer = Reader.currentAt() - PushedAsOf >= Settings.Watcher.Pace / 2 ||
                Reader.mirror().position() > PushedTo;
   if (Reader.currentAt() > before && newer)
     sendPush(false, now);
 }
 
-void NewsDuty::sendPush(bool asked, Time now) {
+void RegistrySync::sendPush(bool asked, Time now) {
   if (!Reader.mayPassOn())
     return;
   std::vector<Address> targets = Spread.targets(asked);
@@ -289,7 +291,7 @@
       send(bytes, it);
 }
 
-void NewsDuty::send(const std::string &bytes, Address target) {
+void RegistrySync::send(const std::string &bytes, Address target) {
   sockaddr_in to = toSockaddr(target);
   ssize_t n = ::sendto(Socket.get(), bytes.data(), bytes.size(), MSG_DONTWAIT,
                        reinterpret_cast<sockaddr *>(&to), sizeof(to));
@@ -298,25 +300,25 @@
     Traffic.Bytes += static_cast<uint64_t>(n);
 }
 
-void NewsDuty::pull(InstanceId from, bool whole) {
+void RegistrySync::pull(InstanceId from, bool whole) {
   if (Pages.busy())
     return;
   std::optional<Position> since;
   if (!whole)
     since = Reader.mirror().position();
   Pages.read(from, addressOf(from), since,
-             [this](const PageRead &page) { takePulled(page); });
+             [this](const PageResult &page) { takePulled(page); });
 }
 
 /// All instances use one port, also where no record says so yet.
-Address NewsDuty::addressOf(InstanceId id) const {
+Address RegistrySync::addressOf(InstanceId id) const {
   auto it = Others.known().find(id);
   return it == Others.known().end()
              ? Address{.Ip = id.Value, .Port = Settings.Peers.Port}
              : it->second.Peers;
 }
 
-void NewsDuty::remindOthers(Time now) {
+void RegistrySync::remindOthers(Time now) {
   if (!mayRemind())
     return;
   std::vector<Address> targets = Others.due(Away, now);
@@ -332,54 +334,54 @@
     send(bytes, it);
 }
 
-bool NewsDuty::mayRemind() const {
+bool RegistrySync::mayRemind() const {
   return Settings.Core.Use.Reminders && Reader.knowsAll() && Reader.mayPassOn();
 }
 
-void NewsDuty::pullSeed(InstanceId from) {
+void RegistrySync::pullSeed(InstanceId from) {
   if (Pages.busy())
     return;
   Pages.read(from, addressOf(from), std::nullopt,
-             [this](const PageRead &page) { takeSeed(page); });
+             [this](const PageResult &page) { takeSeed(page); });
 }
 
-void NewsDuty::takeSeed(const PageRead &read) {
+void RegistrySync::takeSeed(const PageResult &read) {
   LogLine line("news_from_peer");
-  line.with("peer", formatIp(read.From.Value));
+  line.with("peer", formatIp(read.Peer.Value));
   if (!read.Page)
-    return Lines.write(line.with("why", read.Why));
+    return Lines.write(line.with("why", read.Error));
   std::vector<token::Event> news;
   Reader.takeSeed(*read.Page, news);
   Lines.write(line.with("revision", read.Page->At.Revision));
-  tell(std::move(news), read.From, steadyNow());
+  tell(std::move(news), read.Peer, steadyNow());
 }
 
-void NewsDuty::takePulled(const PageRead &read) {
-  if (read.Gone && !read.Whole)
-    return pull(read.From, true);
+void RegistrySync::takePulled(const PageResult &read) {
+  if (read.HistoryTooShort && !read.Full)
+    return pull(read.Peer, true);
   if (!read.Page) {
     Reader.pullFailed();
     return Lines.write(LogLine("news_pull_failed")
-                           .with("peer", formatIp(read.From.Value))
-                           .with("why", read.Why));
+                           .with("peer", formatIp(read.Peer.Value))
+                           .with("why", read.Error));
   }
   Time now = steadyNow();
   std::vector<token::Event> news;
   Position before = Reader.mirror().position();
-  Reader.takePull(*read.Page, read.Whole, now, news);
-  noteRestore(before, read.From);
-  tell(std::move(news), read.From, now);
+  Reader.takePull(*read.Page, read.Full, now, news);
+  noteRestore(before, read.Peer);
+  tell(std::move(news), read.Peer, now);
   sendPush(false, now);
 }
 
-void NewsDuty::stoodStill(Time now) {
+void RegistrySync::handleSuspension(Time now) {
   // Long enough to read what waits in the socket.
   constexpr Duration Reading = std::chrono::milliseconds(100);
   LateUntil = now + Reading;
   Reader.doubtAll(now);
 }
 
-void NewsDuty::noteRegistry(Time now) {
+void RegistrySync::noteRegistry(Time now) {
   bool away = Reader.knowsAll() && Reader.away(now);
   if (away == Away)
     return;
@@ -388,12 +390,12 @@
                   .with("revision", Reader.mirror().position().Revision));
 }
 
-void NewsDuty::boundsChanged(const token::BoundsChanged &bounds) {
+void RegistrySync::updateBounds(const token::BoundsChanged &bounds) {
   Pending.emplace_back(bounds);
   passNews();
 }
 
-void NewsDuty::leave() {
+void RegistrySync::leave() {
   Leaving = true;
   // Nothing else is asked of the registry any more, so this shows best whether
   // it is away.
--- a/lib/edge/NewsDuty.h
+++ b/lib/edge/RegistrySync.h
@@ -1,14 +1,14 @@
 // The control thread's work with news: asks the registry, keeps this
 // instance's record there, and exchanges news with other instances.
 
-#ifndef CHICORYBANK_LIB_EDGE_NEWSDUTY_H
-#define CHICORYBANK_LIB_EDGE_NEWSDUTY_H
+#ifndef CHICORYBANK_LIB_EDGE_REGISTRYSYNC_H
+#define CHICORYBANK_LIB_EDGE_REGISTRYSYNC_H
 
 #include "Log.h"
 #include "PeerPages.h"
-#include "RecordDuty.h"
 #include "RegistryClient.h"
-#include "Shared.h"
+#include "RegistryWriter.h"
+#include "SharedState.h"
 
 #include "chicorybank/edge/DoubtLog.h"
 #include "chicorybank/edge/FragmentAssembler.h"
@@ -21,37 +21,41 @@
 namespace chicory::edge {
 
 /// Counters of the messages between instances.
-struct PeerStats {
+struct PeerMessageStats {
   uint64_t Messages = 0;
   uint64_t Bytes = 0;
-  uint64_t Bad = 0;
-  uint64_t Doubts = 0;
+  uint64_t Malformed = 0;
+  uint64_t UnreachableReports = 0;
 };
 
 /// Runs inside the control thread's loop.
-class NewsDuty {
+class RegistrySync {
 public:
-  NewsDuty(Loop &loop, Log &log, const EdgeSettings &settings,
-           const RegistryDialect &dialect, FileDescriptor socket,
-           Shared &shared);
+  RegistrySync(EventLoop &loop, Log &log, const EdgeSettings &settings,
+               const RegistryDialect &dialect, FileDescriptor socket,
+               SharedState &shared);
 
   /// Starts the calls that are due and ends those whose time is over.
   void run(Time now);
   Time nextAt() const;
   /// Answers another instance that reads news.
-  HttpAnswer answer(const std::string &target) { return Pages.answer(target); }
+  HttpResponse answer(const std::string &target) {
+    return Pages.answer(target);
+  }
   /// The process stood still: pushes that wait in the socket are old.
-  void stoodStill(Time now);
+  void handleSuspension(Time now);
   /// Passes changed bounds on to the packet thread.
-  void boundsChanged(const token::BoundsChanged &bounds);
+  void updateBounds(const token::BoundsChanged &bounds);
   /// Takes this instance out of the others' order.
   void leave();
   const NewsStats &stats() const { return Reader.stats(); }
-  const NewsReader &reader() const { return Reader; }
+  const NewsReader &watcher() const { return Reader; }
   /// Calls to the registry, of whatever kind.
-  RegistryCounts calls() const;
-  const PeerStats &peerStats() const { return Traffic; }
-  const WriteStats &recorderStats() const { return Records.recorderStats(); }
+  RegistryCallCounts callCounts() const;
+  const PeerMessageStats &peerStats() const { return Traffic; }
+  const WriteStats &routeHistoryStats() const {
+    return Records.routeHistoryStats();
+  }
 
 private:
   void callRegistry(Time now);
@@ -68,7 +72,7 @@
   void pull(InstanceId from, bool whole);
   Address addressOf(InstanceId id) const;
   void pullSeed(InstanceId from);
-  void takeSeed(const PageRead &read);
+  void takeSeed(const PageResult &read);
   void remindOthers(Time now);
   bool mayRemind() const;
   /// What is missing here is missing in the registry, and calls to it are not
@@ -77,7 +81,7 @@
     return Reader.complete() && !Away && Reader.settled();
   }
   void takePeers(Time now);
-  void takePulled(const PageRead &read);
+  void takePulled(const PageResult &read);
   /// `asked`: this instance got the news from the registry.
   void sendPush(bool asked, Time now);
   void send(const std::string &bytes, Address target);
@@ -91,12 +95,12 @@
   Log &Lines;
   const EdgeSettings &Settings;
   const RegistryDialect &Dialect;
-  Shared &Common;
-  Loop &Events;
+  SharedState &Common;
+  EventLoop &Events;
   FileDescriptor Socket;
   NewsReader Reader;
   NewsSpread Spread;
-  RecordDuty Records;
+  RegistryWriter Records;
   RegistryClient Registry;
   Time StartedAt = steadyNow();
   PeerPages Pages;
@@ -112,7 +116,7 @@
   bool RoutesChanged = false;
   bool Away = false;
   bool Leaving = false;
-  PeerStats Traffic;
+  PeerMessageStats Traffic;
   FragmentAssembler Fragments;
   DoubtLog Doubts;
   uint64_t MessagesSent = 0;
--- a/lib/edge/RecordDuty.cpp
+++ b/lib/edge/RegistryWriter.cpp
@@ -1,4 +1,4 @@
-#include "RecordDuty.h"
+#include "RegistryWriter.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,8 +13,10 @@
 
 } // namespace
 
-RecordDuty::RecordDuty(Loop &loop, Log &log, const EdgeSettings &settings,
-                       const RegistryDialect &dialect, const Mirror &copy)
+RegistryWriter::RegistryWriter(EventLoop &loop, Log &log,
+                               const EdgeSettings &settings,
+                               const RegistryDialect &dialect,
+                               const Mirror &copy)
     : Lines(log), Settings(settings), Record(dialect,
                                              {.Id = InstanceId{settings.Ip},
                                               .Zone = settings.Zone,
@@ -23,7 +25,8 @@
       Recorder(dialect), Copy(copy), Directory(dialect), Dialect(dialect),
       Calls(loop, settings.Ip, settings.Registry, dialect) {}
 
-void RecordDuty::run(bool current, Duration patience, Time now) {
+void RegistryWriter::run(bool mayWriteShared, Duration stalenessLimit,
+                         Time now) {
   Calls.expire(now);
   if (Calls.busy())
     return;
@@ -31,83 +34,84 @@
     return sayThatItLeaves();
   if (auto call = Record.next(now))
     return announce(std::move(*call));
-  if (!current)
+  if (!mayWriteShared)
     return;
   if (Settings.Core.Use.RouteRecord)
-    if (auto call = Recorder.next(patience, now))
+    if (auto call = Recorder.next(stalenessLimit, now))
       return recordRoutes(std::move(*call));
-  if (auto call = Directory.next(Copy, patience, now))
+  if (auto call = Directory.next(Copy, stalenessLimit, now))
     writeDirectory(std::move(*call));
 }
 
-Time RecordDuty::nextAt(bool current, Duration patience) const {
+Time RegistryWriter::nextAt(bool mayWriteShared,
+                            Duration stalenessLimit) const {
   if (Calls.busy())
     return Calls.deadline();
   if (Leaving)
     return LeaveFailed ? Time{} : Time::max();
   Time out = Record.nextAt();
-  if (!current)
+  if (!mayWriteShared)
     return out;
   if (Settings.Core.Use.RouteRecord)
-    out = std::min(out, Recorder.nextAt(patience));
-  return std::min(out, Directory.nextAt(patience));
+    out = std::min(out, Recorder.nextAt(stalenessLimit));
+  return std::min(out, Directory.nextAt(stalenessLimit));
 }
 
-void RecordDuty::announce(RegistryCall call) {
+void RegistryWriter::announce(RegistryCall call) {
   Calls.call(std::move(call), CallTimeout,
              [this](const HttpClient::Result &it) {
-               NewsAnswer answer = newsAnswer(it, Dialect);
+               NewsAnswer answer = toRegistryAnswer(it, Dialect);
                Record.answered(answer, steadyNow());
                noteGeneration(answer);
              });
 }
 
-void RecordDuty::recordRoutes(RegistryCall call) {
+void RegistryWriter::recordRoutes(RegistryCall call) {
   Calls.call(
       std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
-        NewsAnswer answer = newsAnswer(it, Dialect);
+        NewsAnswer answer = toRegistryAnswer(it, Dialect);
         Recorder.answered(answer, steadyNow());
         noteGeneration(answer);
         Lines.write(LogLine("routes_recorded").with("status", answer.Status));
       });
 }
 
-void RecordDuty::writeDirectory(RegistryCall call) {
+void RegistryWriter::writeDirectory(RegistryCall call) {
   Calls.call(
       std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
-        NewsAnswer answer = newsAnswer(it, Dialect);
+        NewsAnswer answer = toRegistryAnswer(it, Dialect);
         Directory.answered(answer, steadyNow());
         noteGeneration(answer);
         Lines.write(LogLine("directory_written").with("status", answer.Status));
       });
 }
 
-void RecordDuty::learn(const token::RouteSet *routes,
-                       const RouteRecords &stored, Time now) {
+void RegistryWriter::learnRoutes(const token::RouteSet *routes,
+                                 const RouteRecords &stored, Time now) {
   if (routes)
     Recorder.learn(*routes, now);
   Recorder.learn(stored, Settings.Core.MaxFlowAge, now);
 }
 
-void RecordDuty::noteGeneration(const NewsAnswer &answer) {
+void RegistryWriter::noteGeneration(const NewsAnswer &answer) {
   if (answer.Generation <= Known)
     return;
   Told = answer.Generation;
   learnGeneration(answer.Generation);
 }
 
-void RecordDuty::learnGeneration(std::optional<Generation> generation) {
+void RegistryWriter::learnGeneration(std::optional<Generation> generation) {
   if (Known && Known != generation)
     Record.registryRestored();
   Known = generation;
 }
 
-void RecordDuty::leave(std::function<void()> failed) {
+void RegistryWriter::leave(std::function<void()> failed) {
   Leaving = true;
   LeaveFailed = std::move(failed);
 }
 
-void RecordDuty::sayThatItLeaves() {
+void RegistryWriter::sayThatItLeaves() {
   if (!LeaveFailed)
     return;
   auto failed = std::exchange(LeaveFailed, nullptr);
--- a/lib/edge/RecordDuty.h
+++ b/lib/edge/RegistryWriter.h
@@ -2,8 +2,8 @@
 // its share in the record of routes and in the directory. One call is under way
 // at a time.
 
-#ifndef CHICORYBANK_LIB_EDGE_RECORDDUTY_H
-#define CHICORYBANK_LIB_EDGE_RECORDDUTY_H
+#ifndef CHICORYBANK_LIB_EDGE_REGISTRYWRITER_H
+#define CHICORYBANK_LIB_EDGE_REGISTRYWRITER_H
 
 #include "Log.h"
 #include "RegistryClient.h"
@@ -18,25 +18,27 @@
 namespace chicory::edge {
 
 /// Runs inside the control thread's loop.
-class RecordDuty {
+class RegistryWriter {
 public:
-  RecordDuty(Loop &loop, Log &log, const EdgeSettings &settings,
-             const RegistryDialect &dialect, const Mirror &copy);
+  RegistryWriter(EventLoop &loop, Log &log, const EdgeSettings &settings,
+                 const RegistryDialect &dialect, const Mirror &copy);
 
   /// Ends a call whose time is over, and starts one that is due. Serving comes
   /// first: call it only once packets can be carried. `current`: everything was
   /// read, and the registry answers, so this instance may write for all;
   /// `patience`: of this instance with news.
-  void run(bool current, Duration patience, Time now);
+  void run(bool mayWriteShared, Duration stalenessLimit, Time now);
   /// When `run` may have something to do.
-  Time nextAt(bool current, Duration patience) const;
+  Time nextAt(bool mayWriteShared, Duration stalenessLimit) const;
 
   /// The routes and their record as they were read last.
-  void learn(const token::RouteSet *routes, const RouteRecords &stored,
-             Time now);
+  void learnRoutes(const token::RouteSet *routes, const RouteRecords &stored,
+                   Time now);
   /// The copy of the registry, as of some time, has this record of this
   /// instance, or none.
-  void seen(const PeerRecord *own, Time asOf) { Record.seen(own, asOf); }
+  void learnOwnRecord(const PeerRecord *own, Time asOf) {
+    Record.seen(own, asOf);
+  }
   void learnDirectory(const DirectoryNote &stored, Time now) {
     Directory.learn(Copy, stored, now);
   }
@@ -46,9 +48,11 @@
   /// The registry is in this generation, as its news tells.
   void learnGeneration(std::optional<Generation> generation);
   /// A later generation that an answer to a call of this duty has told, once.
-  std::optional<Generation> takeTold() { return std::exchange(Told, {}); }
-  const RegistryCounts &calls() const { return Calls.counts(); }
-  const WriteStats &recorderStats() const { return Recorder.stats(); }
+  std::optional<Generation> takeNewGeneration() {
+    return std::exchange(Told, {});
+  }
+  const RegistryCallCounts &callCounts() const { return Calls.counts(); }
+  const WriteStats &routeHistoryStats() const { return Recorder.stats(); }
 
 private:
   void announce(RegistryCall call);
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -73,11 +73,11 @@
            out.Applied);
   takeOver("times.grace", inUse.Grace, fresh.Grace, out.Applied);
   compare("mechanisms", inUse.Core.Use, fresh.Core.Use, out.AfterRestart);
-  inUse.StopAfter = fresh.StopAfter;
+  inUse.StopDelay = fresh.StopDelay;
   return out;
 }
 
-std::vector<std::string> switchedOff(const EdgeSettings &settings) {
+std::vector<std::string> disabledMechanisms(const EdgeSettings &settings) {
   std::vector<std::string> out;
   for (const token::MechanismName &it : token::MechanismNames)
     if (!(settings.Core.Use.*it.Switch))
@@ -129,14 +129,14 @@
   out.Core.Self = InstanceId{out.Ip};
   out.Core.Seed = hashBytes(out.Name);
   out.Core.Servers.RememberGone = out.Core.MaxFlowAge;
-  out.News.Pace = std::clamp<Duration>(out.Core.ApplyWithin / PacesInApply,
-                                       PaceLeast, PaceMost);
+  out.Watcher.Pace = std::clamp<Duration>(out.Core.ApplyWithin / PacesInApply,
+                                          PaceLeast, PaceMost);
   out.Core.NewsGap =
-      std::chrono::duration_cast<Duration>(out.News.Pace * PacesInGap);
+      std::chrono::duration_cast<Duration>(out.Watcher.Pace * PacesInGap);
   if (out.Grace > 2 * GraceReserve)
-    out.StopAfter = std::min(out.StopAfter, out.Grace - GraceReserve);
+    out.StopDelay = std::min(out.StopDelay, out.Grace - GraceReserve);
   else
-    out.StopAfter = std::min(out.StopAfter, out.Grace / 2);
+    out.StopDelay = std::min(out.StopDelay, out.Grace / 2);
   if (!findings.empty())
     return std::nullopt;
   return out;
--- a/lib/edge/Shared.h
+++ b/lib/edge/SharedState.h
@@ -4,10 +4,10 @@
 // registry, answers probes and writes logs. Rings join them: a full one never
 // makes the packet thread wait.
 
-#ifndef CHICORYBANK_LIB_EDGE_SHARED_H
-#define CHICORYBANK_LIB_EDGE_SHARED_H
+#ifndef CHICORYBANK_LIB_EDGE_SHAREDSTATE_H
+#define CHICORYBANK_LIB_EDGE_SHAREDSTATE_H
 
-#include "Loop.h"
+#include "EventLoop.h"
 
 #include "chicorybank/edge/NewsReader.h"
 #include "chicorybank/token/Core.h"
@@ -23,7 +23,7 @@
   token::CoreStats Core;
   token::Histogram BatchTime;
   uint64_t BadPackets = 0;
-  uint64_t OldOpenings = 0;
+  uint64_t StaleOpenings = 0;
   uint64_t SendFailures = 0;
   uint64_t LogsDropped = 0;
   uint64_t Flows = 0;
@@ -31,23 +31,23 @@
   uint64_t Routes = 0;
   uint64_t RuleVersion = 0;
   token::DrainedZones Drained;
-  double NewsAgeSeconds = 0;
+  double UpdateAgeSeconds = 0;
 };
 
 /// Rings, flags and figures between the threads.
-struct Shared {
+struct SharedState {
   /// From the control thread: what the registry says.
-  moodycamel::ReaderWriterQueue<token::Event> News{128};
+  moodycamel::ReaderWriterQueue<token::Event> Updates{128};
   Wakeup PacketWakeup;
   /// From the packet thread: decisions to be logged.
   moodycamel::ReaderWriterQueue<token::Decision> Decisions{512};
   /// From the packet thread: servers that can't be reached, for the others.
-  moodycamel::ReaderWriterQueue<token::BackendId> Doubts{64};
+  moodycamel::ReaderWriterQueue<token::BackendId> UnreachableBackends{64};
   Wakeup ControlWakeup;
 
   /// Routes and backend servers are known.
-  std::atomic<bool> Serves = false;
-  std::atomic<bool> Ended = false;
+  std::atomic<bool> ReadyToServe = false;
+  std::atomic<bool> Stopped = false;
 
   /// The packet thread's figures, as of its last `publish`.
   EdgeStats stats() {
--- a/lib/edge/PauseWatch.h
+++ b/lib/edge/SuspensionDetector.h
@@ -1,7 +1,7 @@
 // Notices that a thread which turns regularly has stood still.
 
-#ifndef CHICORYBANK_LIB_EDGE_PAUSEWATCH_H
-#define CHICORYBANK_LIB_EDGE_PAUSEWATCH_H
+#ifndef CHICORYBANK_LIB_EDGE_SUSPENSIONDETECTOR_H
+#define CHICORYBANK_LIB_EDGE_SUSPENSIONDETECTOR_H
 
 #include "chicorybank/base/Types.h"
 
@@ -9,14 +9,15 @@
 
 /// Compares the time between two turns of a loop with the longest that the loop
 /// ever waits. Times are of the boot clock, which counts suspensions.
-class PauseWatch {
+class SuspensionDetector {
 public:
-  explicit PauseWatch(Duration longestTurn) : LongestTurn(longestTurn) {}
+  explicit SuspensionDetector(Duration longestTurn)
+      : LongestTurn(longestTurn) {}
 
-  void turn(Time now) { LastTurn = now; }
+  void recordTurn(Time now) { LastTurn = now; }
   /// The thread has not turned for longer than it ever waits: it was stopped,
   /// or its machine was, and what it finds in its sockets may be old.
-  bool stoodStill(Time now) const {
+  bool wasSuspended(Time now) const {
     return LastTurn != Time{} && now - LastTurn > LongestTurn;
   }
 
--- a/tests/ReachProbesTest.cpp
+++ b/tests/BackendProberTest.cpp
@@ -1,6 +1,6 @@
 // Probes over real sockets on loopback.
 
-#include "edge/ReachProbes.h"
+#include "edge/BackendProber.h"
 
 #include "Story.h"
 
@@ -20,7 +20,7 @@
 Address someAddress() { return {.Ip = Loopback, .Port = 0}; }
 
 /// Runs the loop until one probe has ended, for two seconds at most.
-token::ProbeEnded endOf(Loop &loop, ReachProbes &probes) {
+token::ProbeEnded endOf(EventLoop &loop, BackendProber &probes) {
   Time until = steadyNow() + 2s;
   while (steadyNow() < until) {
     loop.wait(5ms);
@@ -33,8 +33,8 @@
 
 } // namespace
 
-class ReachProbesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ReachProbesTest);
+class BackendProberTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(BackendProberTest);
   CPPUNIT_TEST(reachesAListener);
   CPPUNIT_TEST(isRefusedWhereNobodyListens);
   CPPUNIT_TEST(failsWithoutAnAnswerInTime);
@@ -44,8 +44,8 @@
 
   void reachesAListener() {
     auto listener = listenTcp(someAddress());
-    Loop loop;
-    ReachProbes probes(loop, Loopback);
+    EventLoop loop;
+    BackendProber probes(loop, Loopback);
     probes.start(
         {.Id = BackendId{4}, .Where = boundAddress(*listener), .Timeout = 1s},
         steadyNow());
@@ -57,16 +57,16 @@
 
   void isRefusedWhereNobodyListens() {
     Address nobody = boundAddress(*listenTcp(someAddress()));
-    Loop loop;
-    ReachProbes probes(loop, Loopback);
+    EventLoop loop;
+    BackendProber probes(loop, Loopback);
     probes.start({.Id = BackendId{4}, .Where = nobody, .Timeout = 1s},
                  steadyNow());
     expectTrue(endOf(loop, probes).Outcome == ProbeOutcome::Refused, "refused");
   }
 
   void failsWithoutAnAnswerInTime() {
-    Loop loop;
-    ReachProbes probes(loop, Loopback);
+    EventLoop loop;
+    BackendProber probes(loop, Loopback);
     auto listener = listenTcp(someAddress());
     ::listen(listener->get(), 0);
     Address full = boundAddress(*listener);
@@ -83,8 +83,8 @@
   // Cause: time limits looked at before the sockets.
   void countsAnAnswerThatCameBeforeItsLimit() {
     auto listener = listenTcp(someAddress());
-    Loop loop;
-    ReachProbes probes(loop, Loopback);
+    EventLoop loop;
+    BackendProber probes(loop, Loopback);
     Time now = steadyNow();
     probes.start(
         {.Id = BackendId{4}, .Where = boundAddress(*listener), .Timeout = 1s},
@@ -96,9 +96,9 @@
 
   void triesNoMoreThanItHasDescriptorsFor() {
     auto listener = listenTcp(someAddress());
-    Loop loop;
-    ReachProbes probes(loop, Loopback);
-    for (uint64_t id = 1; id <= ReachProbes::Most + 1; ++id)
+    EventLoop loop;
+    BackendProber probes(loop, Loopback);
+    for (uint64_t id = 1; id <= BackendProber::MaxProbes + 1; ++id)
       probes.start({.Id = BackendId{id},
                     .Where = boundAddress(*listener),
                     .Timeout = 1s},
@@ -109,4 +109,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ReachProbesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(BackendProberTest);
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -162,7 +162,7 @@
     out.Registry = {.Ip = Loopback,
                     .Port = static_cast<uint16_t>(registry.Port)};
     out.Core.Zone = "a";
-    out.StopAfter = 300ms;
+    out.StopDelay = 300ms;
     return out;
   }
 
--- a/tests/HttpTest.cpp
+++ b/tests/HttpTest.cpp
@@ -48,8 +48,8 @@
   std::thread Worker;
 };
 
-HttpClient::Result call(uint16_t port, const HttpCall &what) {
-  Loop loop;
+HttpClient::Result call(uint16_t port, const HttpRequest &what) {
+  EventLoop loop;
   HttpClient client(loop, Loopback, {.Ip = Loopback, .Port = port});
   std::optional<HttpClient::Result> out;
   client.call(what, [&](HttpClient::Result it) { out = std::move(it); });
@@ -71,16 +71,16 @@
   // hundreds of instances share a link: it carries them in vain.
   void waitsForAnAnswerThatKeepsComing() {
     SlowServer server;
-    HttpCall whole{.Target = "/slow", .Timeout = 400ms};
+    HttpRequest whole{.Target = "/slow", .Timeout = 400ms};
     auto late = call(server.Port, whole);
     expectTrue(!late && late.error() == HttpFailure::TimedOut,
                "a limit on the whole answer ends it");
-    whole.LimitsSilence = true;
+    whole.ExtendTimeoutOnData = true;
     auto slow = call(server.Port, whole);
     expectTrue(slow && slow->Body.size() == Pieces, "a limit on silence waits");
-    auto stuck =
-        call(server.Port,
-             {.Target = "/stuck", .Timeout = 400ms, .LimitsSilence = true});
+    auto stuck = call(
+        server.Port,
+        {.Target = "/stuck", .Timeout = 400ms, .ExtendTimeoutOnData = true});
     expectTrue(!stuck && stuck.error() == HttpFailure::TimedOut,
                "until nothing comes any more");
   }
--- a/tests/LogTest.cpp
+++ b/tests/LogTest.cpp
@@ -51,15 +51,16 @@
 
   void saysWhatDecided() {
     Time now{10s};
-    LogLine line = lineOf({.What = "flow_reset",
-                           .Why = Reason::BackendGone,
-                           .At = now - 3ms,
-                           .Flow = {.Source = {.Ip = 0x64400001, .Port = 7},
-                                    .Destination = {.Ip = 1, .Port = 443}},
-                           .Backend = token::BackendId{0xab},
-                           .Rules = RuleVersion{9},
-                           .Age = 40ms},
-                          now);
+    LogLine line =
+        decisionLine({.What = "flow_reset",
+                      .Why = Reason::BackendGone,
+                      .At = now - 3ms,
+                      .Flow = {.Source = {.Ip = 0x64400001, .Port = 7},
+                               .Destination = {.Ip = 1, .Port = 443}},
+                      .Backend = token::BackendId{0xab},
+                      .Rules = RuleVersion{9},
+                      .Age = 40ms},
+                     now);
     expectEqual<std::string>(" why=backend_gone caller=100.64.0.1:7 "
                              "route=0.0.0.1:443 server=ab rules=9 age_ms=40 "
                              "ago_ms=3",
@@ -81,8 +82,8 @@
     Written written;
     Log log(written.fd(), "one");
     for (int n = 0; n < 100; ++n)
-      log.write(LogLine("flow_reset").because(Reason::NoMatch));
-    log.write(LogLine("flow_reset").because(Reason::BackendGone));
+      log.write(LogLine("flow_reset").withReason(Reason::NoMatch));
+    log.write(LogLine("flow_reset").withReason(Reason::BackendGone));
     std::string text = written.text();
     size_t many = linesWith(text, "why=no_match");
     expectTrue(many >= Log::LinesPerSecond &&
--- a/tests/PauseWatchTest.cpp
+++ b/tests/SuspensionDetectorTest.cpp
@@ -1,4 +1,4 @@
-#include "edge/PauseWatch.h"
+#include "edge/SuspensionDetector.h"
 
 #include "Story.h"
 
@@ -7,8 +7,8 @@
 using namespace chicory::edge;
 using namespace std::chrono_literals;
 
-class PauseWatchTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PauseWatchTest);
+class SuspensionDetectorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(SuspensionDetectorTest);
   CPPUNIT_TEST(noticesATurnThatTookTooLong);
   CPPUNIT_TEST_SUITE_END();
 
@@ -18,15 +18,15 @@
   // passes the old opening to a server of its own choice, which answers too.
   // Cause: what waited in the socket taken for fresh.
   void noticesATurnThatTookTooLong() {
-    PauseWatch watch(600ms);
+    SuspensionDetector watch(600ms);
     Time now{100s};
-    expectTrue(!watch.stoodStill(now), "not before the first turn");
-    watch.turn(now);
-    expectTrue(!watch.stoodStill(now + 600ms), "a long turn");
-    expectTrue(watch.stoodStill(now + 601ms), "a pause");
-    watch.turn(now + 2s);
-    expectTrue(!watch.stoodStill(now + 2s), "it is over with the next turn");
+    expectTrue(!watch.wasSuspended(now), "not before the first turn");
+    watch.recordTurn(now);
+    expectTrue(!watch.wasSuspended(now + 600ms), "a long turn");
+    expectTrue(watch.wasSuspended(now + 601ms), "a pause");
+    watch.recordTurn(now + 2s);
+    expectTrue(!watch.wasSuspended(now + 2s), "it is over with the next turn");
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PauseWatchTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SuspensionDetectorTest);
