--- a/include/chicorybank/edge/Edge.h
+++ b/include/chicorybank/edge/Edge.h
@@ -1,4 +1,4 @@
-// An edge instance: the shell around a token core.
+// Runs an edge instance: the threads, sockets and signals around a token core.
 
 #ifndef CHICORYBANK_EDGE_EDGE_H
 #define CHICORYBANK_EDGE_EDGE_H
@@ -12,14 +12,15 @@
 
 namespace chicory::edge {
 
-/// Reads the settings file at a path; findings say what is wrong.
+/// Reads the settings file at `path`. Adds every error in it to `findings`.
 std::optional<EdgeSettings> loadEdgeSettings(const std::string &path,
                                              Findings &findings);
 
-/// Serves until SIGTERM and the planned stop that it begins; an error says why
-/// the instance can't start. Call it once in a process: it sets the handlers of
-/// SIGTERM, SIGINT, SIGHUP and SIGPIPE. Changes of the file at `path` are taken
-/// over where they can be; an empty path stands for no file.
+/// Serves until the planned stop that SIGTERM or SIGINT begins is complete.
+/// Returns an error if the instance can't start. Call it only once in a
+/// process: it sets the handlers of SIGTERM, SIGINT, SIGHUP and SIGPIPE.
+/// Applies changes of the file at `path` where a running instance can; an empty
+/// path stands for no file.
 tl::expected<void, std::string> runEdge(EdgeSettings settings,
                                         const std::string &path,
                                         const RegistryDialect &dialect,
--- a/include/chicorybank/edge/Settings.h
+++ b/include/chicorybank/edge/Settings.h
@@ -1,4 +1,5 @@
-// The settings of an edge instance, in TOML; docs/SETTINGS.md lists them.
+// The settings of an edge instance, read from TOML; docs/SETTINGS.md lists
+// them.
 
 #ifndef CHICORYBANK_EDGE_SETTINGS_H
 #define CHICORYBANK_EDGE_SETTINGS_H
@@ -13,44 +14,45 @@
 
 namespace chicory::edge {
 
-/// Everything that an edge instance is told at its start.
+/// All settings of an edge instance.
 struct EdgeSettings {
   std::string Name;
   std::string Zone;
   uint32_t Ip = 0;
-  /// Where routers send callers' packets.
+  /// Receives callers' packets from the routers.
   Address Packets;
-  /// Where routers ask whether this instance is ready.
+  /// Answers the routers' readiness probes.
   Address Ready;
-  /// For other instances: pushed news (UDP), news to be read and metrics (HTTP
-  /// over TCP, same port).
+  /// Serves other instances: receives pushed registry updates over UDP, and
+  /// answers requests for updates and metrics with HTTP on the same TCP port.
   Address Peers;
   Address Registry;
   NewsTimes Watcher;
   token::CoreOptions Core;
-  /// From the order to stop until the end. Routers ask twice a second and turn
-  /// away after two refusals; the rest is for packets under way.
+  /// Time from the stop signal to the end of serving. Routers probe twice a
+  /// second and stop sending new packets after two refusals; the rest is for
+  /// packets in flight.
   Duration StopDelay = std::chrono::milliseconds(2500);
-  /// The process is killed this long after the order to stop.
+  /// The process is killed this long after the stop signal.
   Duration Grace = std::chrono::seconds(6);
 };
 
-/// What a changed file means for a running instance.
+/// The changed settings, by when they take effect.
 struct SettingsChange {
-  /// Keys whose new values are used from now on.
+  /// Keys whose new values are in use.
   std::vector<std::string> Applied;
-  /// Keys whose new values are used after a restart.
+  /// Keys whose new values need a restart.
   std::vector<std::string> AfterRestart;
 };
 
-/// Compares the settings in use with new ones, and takes over what a running
-/// instance can take over.
+/// Compares the settings in use with new ones, and copies those that can change
+/// without a restart to `inUse`.
 SettingsChange applyChanges(EdgeSettings &inUse, const EdgeSettings &fresh);
 
-/// The mechanisms that are off. In production there are none.
+/// Returns the keys of the disabled mechanisms. Production disables none.
 std::vector<std::string> disabledMechanisms(const EdgeSettings &settings);
 
-/// Reads settings. Reports every fault with its place.
+/// Parses settings. Adds every error, with its position, to `findings`.
 std::optional<EdgeSettings> readEdgeSettings(std::string_view text,
                                              const std::string &file,
                                              Findings &findings);
--- a/lib/edge/BackendProber.cpp
+++ b/lib/edge/BackendProber.cpp
@@ -11,7 +11,7 @@
 
 using token::ProbeOutcome;
 
-/// What a socket that has become writable shows.
+/// Returns the outcome of a probe whose socket has become writable.
 ProbeOutcome outcomeOf(int fd) {
   int error = 0;
   socklen_t size = sizeof(error);
@@ -22,7 +22,7 @@
                                           : ProbeOutcome::Failed;
 }
 
-bool answered(int fd) {
+bool hasOutcome(int fd) {
   pollfd ready{.fd = fd, .events = POLLOUT};
   return ::poll(&ready, 1, 0) > 0;
 }
@@ -31,7 +31,7 @@
 
 void BackendProber::start(const token::ProbeBackend &probe, Time now) {
   auto socket = Running.size() < MaxProbes
-                    ? connectTcp(From, probe.Where)
+                    ? connectTcp(SourceIp, probe.Where)
                     : tl::make_unexpected(std::string("too many probes"));
   if (!socket) {
     Ended.push_back({.Id = probe.Id, .Outcome = ProbeOutcome::NotTried});
@@ -65,9 +65,10 @@
   for (const auto &[fd, probe] : Running)
     if (now >= probe.Deadline)
       due.push_back(fd);
-  // This thread may have had no turn for longer than the time limit.
+  // The thread may not have run until after the timeout, so a connection may be
+  // established without its handler having been called.
   for (int fd : due)
-    end(fd, answered(fd) ? outcomeOf(fd) : ProbeOutcome::Failed);
+    end(fd, hasOutcome(fd) ? outcomeOf(fd) : ProbeOutcome::Failed);
   return std::exchange(Ended, {});
 }
 
--- a/lib/edge/BackendProber.h
+++ b/lib/edge/BackendProber.h
@@ -1,4 +1,4 @@
-// Connections that are opened to see whether a backend server can be reached.
+// Probes backend servers by opening TCP connections to them.
 
 #ifndef CHICORYBANK_LIB_EDGE_BACKENDPROBER_H
 #define CHICORYBANK_LIB_EDGE_BACKENDPROBER_H
@@ -12,20 +12,23 @@
 
 namespace chicory::edge {
 
-/// Runs probes in a loop. Each ends exactly once, in `takeEnded`.
+/// Runs probes in an event loop. `takeEnded` returns each of them exactly once.
 class BackendProber {
 public:
-  /// Descriptors that probes may hold at once. Above that they are not tried.
+  /// The maximum number of concurrent probes, and so of their descriptors.
+  /// Further probes end at once as `NotTried`.
   static constexpr size_t MaxProbes = 64;
 
-  /// Connections come from the IP `from`.
-  BackendProber(EventLoop &loop, uint32_t from) : Events(loop), From(from) {}
+  /// `from`: the local IP of the connections.
+  BackendProber(EventLoop &loop, uint32_t from)
+      : Events(loop), SourceIp(from) {}
 
   void start(const token::ProbeBackend &probe, Time now);
-  /// When `takeEnded` has something to end.
+  /// When `takeEnded` must be called next.
   Time nextAt() const;
-  /// The probes that have ended since the last call. Call it after the loop's
-  /// handlers, so that an answer that has come counts before a time limit.
+  /// Returns the probes that have ended since the last call, including those
+  /// whose timeout has passed. Call it after the loop's handlers, so that a
+  /// connection that is already established counts before its timeout.
   std::vector<token::ProbeEnded> takeEnded(Time now);
 
 private:
@@ -38,7 +41,7 @@
   void end(int fd, token::ProbeOutcome outcome);
 
   EventLoop &Events;
-  uint32_t From;
+  uint32_t SourceIp;
   std::map<int, Probe> Running;
   std::vector<token::ProbeEnded> Ended;
 };
--- a/lib/edge/ControlWorker.cpp
+++ b/lib/edge/ControlWorker.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-// Log lines wait this long at most; a wake-up for each would cost more.
-constexpr Duration LogEvery = std::chrono::milliseconds(250);
-// A line of figures; one in ten seconds costs nothing and bounds what is lost
-// when a process is killed.
-constexpr Duration StatusEvery = std::chrono::seconds(10);
-// How often the settings file is looked at.
-constexpr Duration LookEvery = std::chrono::seconds(1);
-// A wait that took this much longer than asked for, by the clock that counts
-// suspensions, shows that the process stood still.
-constexpr Duration StoodStill = std::chrono::milliseconds(400);
+// The maximum delay of log lines. Waking this thread for each line would cost
+// more.
+constexpr Duration LogInterval = std::chrono::milliseconds(250);
+// The interval of status lines. It limits how much is missing from the log when
+// the process is killed, at a negligible cost.
+constexpr Duration StatusInterval = std::chrono::seconds(10);
+// How often the settings file is checked for changes.
+constexpr Duration FileCheckInterval = std::chrono::seconds(1);
+// A wait that takes this much longer than requested, by the clock that runs
+// during suspensions, means that the process was suspended.
+constexpr Duration SuspensionThreshold = std::chrono::milliseconds(400);
 
 std::string namesOf(const token::DrainedZones &zones) {
   std::string out;
@@ -32,104 +33,105 @@
                              const RegistryDialect &dialect,
                              FileDescriptor ready, FileDescriptor peerSocket,
                              FileDescriptor peerListener, SharedState &shared)
-    : Settings(settings), File(std::move(file)), Common(shared),
-      Lines(STDOUT_FILENO, settings.Name),
-      News(Events, Lines, settings, dialect, std::move(peerSocket), shared),
+    : Settings(settings), File(std::move(file)), State(shared),
+      Logger(STDOUT_FILENO, settings.Name),
+      Sync(Events, Logger, settings, dialect, std::move(peerSocket), shared),
       Ready(Events, std::move(ready),
             [this](const std::string &) { return answerReady(); }),
       Peers(Events, std::move(peerListener),
             [this](const std::string &it) { return answerPeer(it); }) {
-  Signals.attach(Events);
-  Common.ControlWakeup.attach(Events);
+  SignalWakeup.attach(Events);
+  State.ControlWakeup.attach(Events);
 }
 
 HttpResponse ControlWorker::answerReady() const {
-  bool ready = Common.ReadyToServe && !Stopping;
+  bool ready = State.ReadyToServe && !Stopping;
   return {.Status = ready ? HttpOk : HttpUnavailable,
           .ContentType = "text/plain"};
 }
 
 HttpResponse ControlWorker::answerPeer(const std::string &target) {
   if (target == "/metrics")
-    return metricsResponse(Common, News);
-  return News.answer(target);
+    return metricsResponse(State, Sync);
+  return Sync.answer(target);
 }
 
-void ControlWorker::run(const std::atomic<bool> &stopAsked,
-                        std::atomic<bool> &reloadAsked) {
+void ControlWorker::run(const std::atomic<bool> &stopRequested,
+                        std::atomic<bool> &reloadRequested) {
   Time now = steadyNow();
   while (now < StopAt) {
-    News.run(now);
+    Sync.run(now);
     Time before = bootTimeNow();
-    Duration wait = std::max(nextAt(now) - now, Duration::zero());
+    Duration wait = std::max(nextWakeup(now) - now, Duration::zero());
     Events.wait(wait);
-    noticePause(before + wait, bootTimeNow());
+    checkSuspension(before + wait, bootTimeNow());
     now = steadyNow();
-    writeDecisions();
-    if (now >= ExpireAt) {
-      ExpireAt = now + LogEvery;
+    logDecisions();
+    if (now >= IdleCheckAt) {
+      IdleCheckAt = now + LogInterval;
       Ready.closeIdleConnections(now);
       Peers.closeIdleConnections(now);
     }
     if (now >= StatusAt) {
-      StatusAt = now + StatusEvery;
-      writeStatus();
+      StatusAt = now + StatusInterval;
+      logStatus();
     }
-    if (reloadAsked.exchange(false)) {
+    if (reloadRequested.exchange(false)) {
       File.changed();
       reload("signal");
-    } else if (now >= LookAt) {
-      LookAt = now + LookEvery;
+    } else if (now >= FileCheckAt) {
+      FileCheckAt = now + FileCheckInterval;
       if (File.changed())
         reload("file");
     }
-    if (stopAsked && !Stopping) {
+    if (stopRequested && !Stopping) {
       Stopping = true;
       StopAt = now + Settings.StopDelay;
-      News.leave();
-      Lines.write(LogLine("stopping"));
-      writeStatus();
+      Sync.leave();
+      Logger.write(LogLine("stopping"));
+      logStatus();
     }
   }
-  writeDecisions();
+  logDecisions();
 }
 
-/// The figures that explain most, for whoever has logs alone.
-void ControlWorker::writeStatus() {
-  EdgeStats stats = Common.stats();
-  const NewsStats &news = News.stats();
-  RegistryCallCounts calls = News.callCounts();
+/// Logs the main statistics, for operators who have logs but no metrics.
+void ControlWorker::logStatus() {
+  EdgeStats stats = State.stats();
+  const NewsStats &watcher = Sync.stats();
+  RegistryCallCounts calls = Sync.callCounts();
   constexpr double MsPerSecond = 1000;
-  Lines.write(
+  Logger.write(
       LogLine("status")
           .with("rules", static_cast<int64_t>(stats.RuleVersion))
           .with("news_age_ms",
                 static_cast<int64_t>(stats.UpdateAgeSeconds * MsPerSecond))
-          .with("revision", News.watcher().mirror().position().Revision)
-          .with("registry_revision", News.watcher().toldPosition().Revision)
+          .with("revision", Sync.watcher().mirror().position().Revision)
+          .with("registry_revision", Sync.watcher().toldPosition().Revision)
           .with("generation",
                 static_cast<int64_t>(
-                    News.watcher().mirror().position().Generation.Value))
+                    Sync.watcher().mirror().position().Generation.Value))
           .with("servers", static_cast<int64_t>(stats.Servers))
           .with("drained_zones", namesOf(stats.Drained))
           .with("flows", static_cast<int64_t>(stats.Flows))
           .with("packets", static_cast<int64_t>(stats.Core.Packets))
           .with("opened", static_cast<int64_t>(stats.Core.Opened))
           .with("registry_calls", calls.text())
-          .with("registry_failures", static_cast<int64_t>(news.Failures))
-          .with("pushes", static_cast<int64_t>(news.Pushes))
-          .with("pulls", static_cast<int64_t>(news.Pulls))
-          .with("whole_pulls", static_cast<int64_t>(news.WholePulls)));
+          .with("registry_failures", static_cast<int64_t>(watcher.Failures))
+          .with("pushes", static_cast<int64_t>(watcher.Pushes))
+          .with("pulls", static_cast<int64_t>(watcher.Pulls))
+          .with("whole_pulls", static_cast<int64_t>(watcher.WholePulls)));
 }
 
-/// Takes over what a running instance can. A file with faults changes nothing.
+/// Applies the settings that can change without a restart. A file with errors
+/// changes nothing.
 void ControlWorker::reload(const char *cause) {
   Findings findings;
   std::optional<EdgeSettings> fresh = File.read(findings);
   LogLine line("reload");
   line.with("cause", cause);
   if (!fresh) {
-    Lines.write(
+    Logger.write(
         line.with("outcome", "refused").with("finding", findings.text()));
     return;
   }
@@ -139,33 +141,33 @@
   for (const std::string &it : change.AfterRestart)
     line.with("after_restart", it);
   bool none = change.Applied.empty() && change.AfterRestart.empty();
-  Lines.write(line.with("outcome", none ? "unchanged" : "read"));
-  News.updateBounds({.ApplyWithin = Settings.Core.ApplyWithin,
+  Logger.write(line.with("outcome", none ? "unchanged" : "read"));
+  Sync.updateBounds({.ApplyWithin = Settings.Core.ApplyWithin,
                      .MaxFlowAge = Settings.Core.MaxFlowAge});
 }
 
-/// A process that was stopped, or a machine that was suspended, goes on as if
-/// nothing had happened: its news looks current, and what waits in its sockets
-/// looks fresh. The boot clock shows it.
-void ControlWorker::noticePause(Time before, Time now) {
-  if (now - before < StoodStill)
+/// Detects that the process was stopped or its machine suspended, by the boot
+/// clock. By the monotonic clock the registry updates look current and the data
+/// that waits in the sockets looks fresh after a suspension.
+void ControlWorker::checkSuspension(Time expected, Time now) {
+  if (now - expected < SuspensionThreshold)
     return;
-  News.handleSuspension(steadyNow());
-  Lines.write(
+  Sync.handleSuspension(steadyNow());
+  Logger.write(
       LogLine("stood_still")
           .with("ms", std::chrono::duration_cast<std::chrono::milliseconds>(
-                          now - before)
+                          now - expected)
                           .count()));
 }
 
-Time ControlWorker::nextAt(Time now) const {
-  return std::min({News.nextAt(), StopAt, now + LogEvery});
+Time ControlWorker::nextWakeup(Time now) const {
+  return std::min({Sync.nextAt(), StopAt, now + LogInterval});
 }
 
-void ControlWorker::writeDecisions() {
+void ControlWorker::logDecisions() {
   token::Decision decision;
-  while (Common.Decisions.try_dequeue(decision))
-    Lines.write(decisionLine(decision, steadyNow()));
+  while (State.Decisions.try_dequeue(decision))
+    Logger.write(decisionLine(decision, steadyNow()));
 }
 
 } // namespace chicory::edge
--- a/lib/edge/ControlWorker.h
+++ b/lib/edge/ControlWorker.h
@@ -1,5 +1,6 @@
-// The control thread: keeps the news current, answers the routers' probes,
-// serves news and metrics to others and writes the log.
+// The control thread: keeps the registry cache current, answers the routers'
+// readiness probes, serves registry updates and metrics to other processes and
+// writes the log.
 
 #ifndef CHICORYBANK_LIB_EDGE_CONTROLWORKER_H
 #define CHICORYBANK_LIB_EDGE_CONTROLWORKER_H
@@ -14,7 +15,7 @@
 
 namespace chicory::edge {
 
-/// Runs on a thread of its own until the stop is complete.
+/// Runs an event loop on its own thread until the planned stop is complete.
 class ControlWorker {
 public:
   ControlWorker(EdgeSettings &settings, SettingsFile file,
@@ -22,33 +23,34 @@
                 FileDescriptor peerSocket, FileDescriptor peerListener,
                 SharedState &shared);
 
-  /// Returns after a planned stop. `stopAsked` and `reloadAsked` are set by
-  /// signal handlers, which wake the loop through `wakeup`.
-  void run(const std::atomic<bool> &stopAsked, std::atomic<bool> &reloadAsked);
-  const Wakeup &wakeup() const { return Signals; }
-  Log &log() { return Lines; }
+  /// Returns after a planned stop. Signal handlers set `stopRequested` and
+  /// `reloadRequested`, and wake the loop through `wakeup`.
+  void run(const std::atomic<bool> &stopRequested,
+           std::atomic<bool> &reloadRequested);
+  const Wakeup &wakeup() const { return SignalWakeup; }
+  Log &log() { return Logger; }
 
 private:
-  void writeDecisions();
+  void logDecisions();
   HttpResponse answerPeer(const std::string &target);
   HttpResponse answerReady() const;
-  Time nextAt(Time now) const;
-  void noticePause(Time before, Time now);
+  Time nextWakeup(Time now) const;
+  void checkSuspension(Time expected, Time now);
   void reload(const char *cause);
-  void writeStatus();
+  void logStatus();
 
-  /// Changed by this thread only; the packet thread has its own copy.
+  /// Only this thread changes them; the packet thread has its own copy.
   EdgeSettings &Settings;
   SettingsFile File;
-  SharedState &Common;
+  SharedState &State;
   EventLoop Events;
-  Wakeup Signals;
-  Log Lines;
-  RegistrySync News;
+  Wakeup SignalWakeup;
+  Log Logger;
+  RegistrySync Sync;
   HttpServer Ready;
   HttpServer Peers;
-  Time ExpireAt;
-  Time LookAt;
+  Time IdleCheckAt;
+  Time FileCheckAt;
   Time StatusAt;
   Time StopAt = Time::max();
   bool Stopping = false;
--- a/lib/edge/Edge.cpp
+++ b/lib/edge/Edge.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-std::atomic<bool> StopAsked = false;
-std::atomic<bool> ReloadAsked = false;
+std::atomic<bool> StopRequested = false;
+std::atomic<bool> ReloadRequested = false;
 std::atomic<const Wakeup *> SignalWakeup = nullptr;
 
 void onSignal(int signal) {
   if (signal == SIGHUP)
-    ReloadAsked = true;
+    ReloadRequested = true;
   else
-    StopAsked = true;
+    StopRequested = true;
   if (const Wakeup *it = SignalWakeup)
     it->wake();
 }
 
-void handleSignals(const Wakeup &wakeup) {
+void installSignalHandlers(const Wakeup &wakeup) {
   SignalWakeup = &wakeup;
   std::signal(SIGTERM, onSignal);
   std::signal(SIGINT, onSignal);
@@ -43,8 +43,8 @@
                                         const std::string &path,
                                         const RegistryDialect &dialect,
                                         const Framing &framing) {
-  StopAsked = false;
-  ReloadAsked = false;
+  StopRequested = false;
+  ReloadRequested = false;
   auto packets = bindUdp(settings.Packets);
   if (!packets)
     return tl::make_unexpected(packets.error());
@@ -62,12 +62,12 @@
   ControlWorker control(settings, SettingsFile(path), dialect,
                         std::move(*ready), std::move(*peerSocket),
                         std::move(*peerListener), shared);
-  handleSignals(control.wakeup());
-  auto duty = std::make_unique<PacketWorker>(settings, framing,
-                                             std::move(*packets), shared);
-  std::thread packetThread([&] { duty->run(); });
+  installSignalHandlers(control.wakeup());
+  auto packetWorker = std::make_unique<PacketWorker>(
+      settings, framing, std::move(*packets), shared);
+  std::thread packetThread([&] { packetWorker->run(); });
   control.log().write(LogLine("start").with("zone", settings.Zone));
-  control.run(StopAsked, ReloadAsked);
+  control.run(StopRequested, ReloadRequested);
   shared.Stopped = true;
   shared.PacketWakeup.wake();
   packetThread.join();
--- a/lib/edge/EventLoop.cpp
+++ b/lib/edge/EventLoop.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int EventsAtOnce = 16;
+constexpr int MaxEventsPerWait = 16;
 
 } // namespace
 
@@ -35,11 +35,11 @@
   Handlers.erase(fd);
 }
 
-void EventLoop::wait(Duration most) {
-  std::array<epoll_event, EventsAtOnce> events{};
-  // Rounded up: a wait that ends just before its time would spin.
-  auto ms = std::chrono::ceil<std::chrono::milliseconds>(most).count();
-  int n = ::epoll_wait(Epoll.get(), events.data(), EventsAtOnce,
+void EventLoop::wait(Duration timeout) {
+  std::array<epoll_event, MaxEventsPerWait> events{};
+  // Rounds up: a wait that ends just before its deadline would spin.
+  auto ms = std::chrono::ceil<std::chrono::milliseconds>(timeout).count();
+  int n = ::epoll_wait(Epoll.get(), events.data(), MaxEventsPerWait,
                        static_cast<int>(std::max<int64_t>(ms, 0)));
   for (int i = 0; i < n; ++i) {
     auto it = Handlers.find(events[i].data.fd);
@@ -50,10 +50,10 @@
   }
 }
 
-Wakeup::Wakeup() : Event(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {}
+Wakeup::Wakeup() : EventFd(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {}
 
 void Wakeup::attach(EventLoop &loop) {
-  int fd = Event.get();
+  int fd = EventFd.get();
   loop.watch(fd, EPOLLIN, [fd](uint32_t) {
     uint64_t count = 0;
     [[maybe_unused]] ssize_t n = ::read(fd, &count, sizeof(count));
@@ -62,7 +62,7 @@
 
 void Wakeup::wake() const {
   uint64_t one = 1;
-  [[maybe_unused]] ssize_t n = ::write(Event.get(), &one, sizeof(one));
+  [[maybe_unused]] ssize_t n = ::write(EventFd.get(), &one, sizeof(one));
 }
 
 } // namespace chicory::edge
--- a/lib/edge/EventLoop.h
+++ b/lib/edge/EventLoop.h
@@ -1,4 +1,4 @@
-// Waits for file descriptors and calls back. One thread owns a loop.
+// An event loop over file descriptors. Each loop belongs to one thread.
 
 #ifndef CHICORYBANK_LIB_EDGE_EVENTLOOP_H
 #define CHICORYBANK_LIB_EDGE_EVENTLOOP_H
@@ -16,7 +16,7 @@
 /// An epoll set with a handler for each descriptor.
 class EventLoop {
 public:
-  /// Gets the EPOLL* bits that are set.
+  /// Takes the EPOLL* bits that are set.
   using Handler = std::function<void(uint32_t)>;
 
   EventLoop();
@@ -25,26 +25,26 @@
   void watch(int fd, uint32_t interest, Handler handler);
   void modify(int fd, uint32_t interest) const;
   void unwatch(int fd);
-  /// Waits for at most `most`, then calls the handlers that are due.
-  void wait(Duration most);
+  /// Waits for events for at most `timeout` and calls their handlers.
+  void wait(Duration timeout);
 
 private:
   FileDescriptor Epoll;
-  /// Shared, since a handler may unwatch its own descriptor.
+  /// Shared pointers, because a handler may unwatch its own descriptor.
   std::unordered_map<int, std::shared_ptr<Handler>> Handlers;
 };
 
-/// Wakes a loop that belongs to another thread.
+/// Wakes the loop of another thread.
 class Wakeup {
 public:
   Wakeup();
-  /// Adds the receiving end to a loop.
+  /// Adds the receiving end to `loop`.
   void attach(EventLoop &loop);
-  /// From any thread.
+  /// Wakes the loop. Any thread and any signal handler may call it.
   void wake() const;
 
 private:
-  FileDescriptor Event;
+  FileDescriptor EventFd;
 };
 
 } // namespace chicory::edge
--- a/lib/edge/Http.cpp
+++ b/lib/edge/Http.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-// The registry's pages hold a megabyte, and base64 adds a third.
-constexpr size_t MaxBody = 4 << 20;
-constexpr size_t MaxTarget = 4096;
-constexpr size_t MaxHeader = 256;
-constexpr size_t ReadChunk = 16 << 10;
+// The registry's pages hold 1 MB, and base64 adds a third.
+constexpr size_t MaxBodyBytes = 4 << 20;
+constexpr size_t MaxTargetBytes = 4096;
+constexpr size_t MaxHeaderBytes = 256;
+constexpr size_t ReadChunkBytes = 16 << 10;
 constexpr size_t MaxConnections = 64;
-// Probes come twice a second; a connection without any is abandoned.
-constexpr Duration IdleConnection = std::chrono::seconds(10);
+// Readiness probes arrive twice a second, so an idle connection is abandoned.
+constexpr Duration MaxIdleTime = std::chrono::seconds(10);
 
 } // namespace
 
@@ -37,7 +37,7 @@
   return "invalid";
 }
 
-/// http_parser's callbacks, which are plain functions.
+/// The callbacks of http_parser, which takes plain functions only.
 struct HttpCallbacks {
   static HttpMessageReader &of(http_parser *parser) {
     return *static_cast<HttpMessageReader *>(parser->data);
@@ -45,35 +45,36 @@
   static int onUrl(http_parser *parser, const char *at, size_t n) {
     HttpMessageReader &it = of(parser);
     it.Target.append(at, n);
-    return it.Target.size() > MaxTarget ? 1 : 0;
+    return it.Target.size() > MaxTargetBytes ? 1 : 0;
   }
   static int onField(http_parser *parser, const char *at, size_t n) {
     HttpMessageReader &it = of(parser);
     if (it.WantedHeader.empty())
       return 0;
-    if (std::exchange(it.InValue, false))
-      it.Field.clear();
-    if (it.Field.size() + n <= MaxHeader)
-      it.Field.append(at, n);
+    if (std::exchange(it.ReadingValue, false))
+      it.HeaderName.clear();
+    if (it.HeaderName.size() + n <= MaxHeaderBytes)
+      it.HeaderName.append(at, n);
     return 0;
   }
   static int onValue(http_parser *parser, const char *at, size_t n) {
     HttpMessageReader &it = of(parser);
-    it.InValue = true;
-    bool wanted = !it.WantedHeader.empty() &&
-                  ::strcasecmp(it.Field.c_str(), it.WantedHeader.c_str()) == 0;
-    if (wanted && it.CapturedHeader.size() + n <= MaxHeader)
+    it.ReadingValue = true;
+    bool wanted =
+        !it.WantedHeader.empty() &&
+        ::strcasecmp(it.HeaderName.c_str(), it.WantedHeader.c_str()) == 0;
+    if (wanted && it.CapturedHeader.size() + n <= MaxHeaderBytes)
       it.CapturedHeader.append(at, n);
     return 0;
   }
   static int onBody(http_parser *parser, const char *at, size_t n) {
     HttpMessageReader &it = of(parser);
     it.Body.append(at, n);
-    return it.Body.size() > MaxBody ? 1 : 0;
+    return it.Body.size() > MaxBodyBytes ? 1 : 0;
   }
   static int onComplete(http_parser *parser) {
     HttpMessageReader &it = of(parser);
-    it.Done = true;
+    it.Complete = true;
     it.KeepAlive = http_should_keep_alive(parser) != 0;
     http_parser_pause(parser, 1);
     return 0;
@@ -99,31 +100,32 @@
 void HttpMessageReader::reset() {
   http_parser_init(&Parser, Type);
   Parser.data = this;
-  Done = false;
+  Complete = false;
   Target.clear();
   Body.clear();
   CapturedHeader.clear();
-  Field.clear();
-  InValue = false;
+  HeaderName.clear();
+  ReadingValue = false;
 }
 
 bool HttpMessageReader::feed(const char *bytes, size_t count) {
   size_t n =
       http_parser_execute(&Parser, &HttpCallbacks::settings(), bytes, count);
-  if (Done)
-    // Nobody pipelines here; bytes behind a message are an error.
+  if (Complete)
+    // Clients and servers here do not pipeline, so further bytes after a
+    // message are an error.
     return n >= count || count - n <= 1;
   return HTTP_PARSER_ERRNO(&Parser) == HPE_OK;
 }
 
 HttpClient::HttpClient(EventLoop &loop, uint32_t from, Address server)
-    : Events(loop), From(from), Server(server) {}
+    : Events(loop), SourceIp(from), Server(server) {}
 
 void HttpClient::call(const HttpRequest &call, Handler done) {
-  Done = std::move(done);
-  CalledAt = steadyNow();
+  Callback = std::move(done);
+  StartedAt = steadyNow();
   FirstByteAt.reset();
-  Deadline = CalledAt + call.Timeout;
+  Deadline = StartedAt + call.Timeout;
   SilenceLimit.reset();
   if (call.ExtendTimeoutOnData)
     SilenceLimit = call.Timeout;
@@ -142,15 +144,15 @@
 }
 
 void HttpClient::connect() {
-  auto socket = connectTcp(From, Server);
+  auto socket = connectTcp(SourceIp, Server);
   if (!socket) {
-    // Told by `expire`, so that handlers never run inside `call`.
+    // `expire` reports this, so that handlers never run inside `call`.
     Deadline = Time::min();
     return;
   }
   Socket = std::move(*socket);
   Connected = false;
-  Used = false;
+  HasServedCall = false;
   Events.watch(Socket.get(), EPOLLIN | EPOLLOUT,
                [this](uint32_t events) { onEvents(events); });
 }
@@ -175,15 +177,16 @@
 void HttpClient::writeOut() {
   ssize_t n = ::send(Socket.get(), Out.data(), Out.size(), MSG_NOSIGNAL);
   if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
-    if (!Used)
+    if (!HasServedCall)
       return finish(tl::make_unexpected(HttpFailure::Broken));
-    // The server closed a connection that was idle: the call never left.
+    // The server closed the idle connection before the request was sent, so it
+    // is safe to send it on a new one.
     std::string out = std::move(Out);
-    Handler done = std::move(Done);
+    Handler done = std::move(Callback);
     Time deadline = Deadline;
     close();
     Out = std::move(out);
-    Done = std::move(done);
+    Callback = std::move(done);
     Deadline = deadline;
     return connect();
   }
@@ -193,7 +196,7 @@
 }
 
 void HttpClient::readIn() {
-  std::array<char, ReadChunk> buf;
+  std::array<char, ReadChunkBytes> buf;
   while (Socket.valid()) {
     ssize_t n = ::recv(Socket.get(), buf.data(), buf.size(), 0);
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
@@ -205,27 +208,27 @@
       FirstByteAt = now;
     if (SilenceLimit)
       Deadline = now + *SilenceLimit;
-    if (!Done || !In.feed(buf.data(), static_cast<size_t>(n)))
+    if (!Callback || !In.feed(buf.data(), static_cast<size_t>(n)))
       return finish(tl::make_unexpected(HttpFailure::Unreadable));
     if (!In.complete())
       continue;
-    HttpResponse answer{.Status = In.status(),
-                        .Body = std::move(In.body()),
-                        .CapturedHeader = In.capturedHeader(),
-                        .TimeToFirstByte = *FirstByteAt - CalledAt,
-                        .TotalTime = steadyNow() - CalledAt};
-    return finish(std::move(answer));
+    HttpResponse response{.Status = In.status(),
+                          .Body = std::move(In.body()),
+                          .CapturedHeader = In.capturedHeader(),
+                          .TimeToFirstByte = *FirstByteAt - StartedAt,
+                          .TotalTime = steadyNow() - StartedAt};
+    return finish(std::move(response));
   }
 }
 
 void HttpClient::finish(Result result) {
-  Handler done = std::move(Done);
-  Done = nullptr;
+  Handler done = std::move(Callback);
+  Callback = nullptr;
   Deadline = Time::max();
   if (!result || !In.keepAlive())
     close();
   else
-    Used = true;
+    HasServedCall = true;
   if (done)
     done(std::move(result));
 }
@@ -235,16 +238,16 @@
     Events.unwatch(Socket.get());
   Socket.reset();
   Connected = false;
-  Done = nullptr;
+  Callback = nullptr;
   Out.clear();
   Deadline = Time::max();
 }
 
 void HttpClient::expire(Time now) {
-  if (!Done || now < Deadline)
+  if (!Callback || now < Deadline)
     return;
   bool refused = !Connected;
-  Handler done = std::move(Done);
+  Handler done = std::move(Callback);
   close();
   done(tl::make_unexpected(refused ? HttpFailure::Refused
                                    : HttpFailure::TimedOut));
@@ -252,7 +255,7 @@
 
 HttpServer::HttpServer(EventLoop &loop, FileDescriptor listener,
                        Handler handler)
-    : Events(loop), Listener(std::move(listener)), Answer(std::move(handler)) {
+    : Events(loop), Listener(std::move(listener)), Respond(std::move(handler)) {
   Events.watch(Listener.get(), EPOLLIN, [this](uint32_t) { accept(); });
 }
 
@@ -267,7 +270,7 @@
                                   SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket.valid())
     return;
-  // Above the limit the connection is closed at once; a prober tries again.
+  // Closes the connection at once above the limit; a prober tries again.
   if (Connections.size() >= MaxConnections)
     return;
   int fd = socket.get();
@@ -293,7 +296,7 @@
 }
 
 bool HttpServer::serve(Connection &connection) {
-  std::array<char, ReadChunk> buf;
+  std::array<char, ReadChunkBytes> buf;
   ssize_t n = ::recv(connection.Socket.get(), buf.data(), buf.size(), 0);
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
     return true;
@@ -303,14 +306,14 @@
     return true;
   connection.LastUsed = steadyNow();
   connection.CloseAfter = !connection.In.keepAlive();
-  HttpResponse answer = Answer(connection.In.target());
+  HttpResponse response = Respond(connection.In.target());
   connection.In.reset();
   connection.Out +=
-      "HTTP/1.1 " + std::to_string(answer.Status) +
-      (answer.Status == HttpOk ? " OK" : " Error") +
-      "\r\nContent-Type: " + answer.ContentType +
-      "\r\nContent-Length: " + std::to_string(answer.Body.size()) + "\r\n\r\n" +
-      answer.Body;
+      "HTTP/1.1 " + std::to_string(response.Status) +
+      (response.Status == HttpOk ? " OK" : " Error") +
+      "\r\nContent-Type: " + response.ContentType +
+      "\r\nContent-Length: " + std::to_string(response.Body.size()) +
+      "\r\n\r\n" + response.Body;
   return flush(connection);
 }
 
@@ -336,7 +339,7 @@
 void HttpServer::closeIdleConnections(Time now) {
   std::vector<int> idle;
   for (const auto &[fd, it] : Connections)
-    if (now - it->LastUsed > IdleConnection)
+    if (now - it->LastUsed > MaxIdleTime)
       idle.push_back(fd);
   for (int fd : idle)
     close(fd);
--- a/lib/edge/Http.h
+++ b/lib/edge/Http.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 without blocking: a client for one server and a small server for
-// health, metrics and news. Parsing is http_parser's.
+// Non-blocking HTTP/1.1: a client for one server, and a small server for
+// readiness probes, metrics and registry updates. http_parser does the parsing.
 
 #ifndef CHICORYBANK_LIB_EDGE_HTTP_H
 #define CHICORYBANK_LIB_EDGE_HTTP_H
@@ -23,61 +23,62 @@
 inline constexpr int HttpTooManyRequests = 429;
 inline constexpr int HttpUnavailable = 503;
 
-/// A request of ours.
+/// A request that this process sends.
 struct HttpRequest {
   /// "GET", "POST" or "DELETE".
   std::string Method = "GET";
-  /// Path and query, encoded.
+  /// Path and query, percent-encoded.
   std::string Target;
   std::string Body;
   Duration Timeout = std::chrono::seconds(1);
-  /// The time limit counts anew with all that arrives of the answer.
+  /// Restarts the timeout whenever a part of the response arrives.
   bool ExtendTimeoutOnData = false;
 };
 
-/// A whole answer.
+/// A complete response.
 struct HttpResponse {
   int Status = 0;
   std::string Body;
   std::string ContentType = "application/json";
-  /// The value of the header that the client keeps; empty where it was absent.
+  /// The value of the header that the client captures; empty if it is absent.
   std::string CapturedHeader;
-  /// From the call to the first byte, and to the last; of answers to calls of
-  /// ours. What lies between is the time on the way, what comes before it the
-  /// server's and the queue in front of it.
+  /// Times from the start of a call of this process to the first and to the
+  /// last byte of the response. The time before the first byte is spent in the
+  /// server and its queue; the rest is transfer time.
   Duration TimeToFirstByte = Duration::zero();
   Duration TotalTime = Duration::zero();
 };
 
-/// Why a call has no answer.
+/// Why a call has no response.
 enum class HttpFailure : uint8_t {
-  Refused,    ///< No connection: it had no effect.
-  Broken,     ///< The connection ended; it may have had an effect.
-  TimedOut,   ///< No whole answer in time; it may have had an effect.
-  Unreadable, ///< The answer can't be read.
+  Refused,    ///< No connection; the call had no effect.
+  Broken,     ///< The connection ended; the call may have had an effect.
+  TimedOut,   ///< No complete response in time; the call may have had
+              ///< an effect.
+  Unreadable, ///< The response can't be parsed.
 };
 
-/// A word for logs.
+/// Returns the name that log lines use.
 const char *httpFailureName(HttpFailure failure);
 
-/// Gathers one message from the bytes of a connection.
+/// Parses one message from the bytes of a connection.
 class HttpMessageReader {
 public:
   explicit HttpMessageReader(http_parser_type type);
   HttpMessageReader(const HttpMessageReader &) = delete;
   HttpMessageReader &operator=(const HttpMessageReader &) = delete;
 
-  /// Takes bytes. False: they are not HTTP, or too many.
+  /// Parses the next bytes. Returns false if they are not HTTP or too many.
   bool feed(const char *bytes, size_t count);
-  /// The value of this header is kept; names are compared without case.
+  /// Captures the value of this header. Names are case-insensitive.
   void captureHeader(std::string name) { WantedHeader = std::move(name); }
   const std::string &capturedHeader() const { return CapturedHeader; }
-  bool complete() const { return Done; }
+  bool complete() const { return Complete; }
   bool keepAlive() const { return KeepAlive; }
   int status() const { return Parser.status_code; }
   const std::string &target() const { return Target; }
   std::string &body() { return Body; }
-  /// Ready for the next message.
+  /// Prepares for the next message.
   void reset();
 
 private:
@@ -85,39 +86,39 @@
 
   http_parser Parser{};
   http_parser_type Type;
-  bool Done = false;
+  bool Complete = false;
   bool KeepAlive = true;
   std::string Target;
   std::string Body;
   std::string WantedHeader;
   std::string CapturedHeader;
-  /// The name of the header that is being read; it may come in pieces.
-  std::string Field;
-  bool InValue = false;
+  /// The name of the current header, which may arrive in several parts.
+  std::string HeaderName;
+  bool ReadingValue = false;
 };
 
-/// Calls one server, one call at a time, on a connection that is kept.
+/// Sends requests to one server, one at a time, over a persistent connection.
 class HttpClient {
 public:
   using Result = tl::expected<HttpResponse, HttpFailure>;
   using Handler = std::function<void(Result)>;
 
-  /// Connections come from the IP `from`.
+  /// `from`: the local IP of the connections.
   HttpClient(EventLoop &loop, uint32_t from, Address server);
   ~HttpClient() { close(); }
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
-  /// Starts a call; none may be under way. `done` is called from the loop.
+  /// Starts a call; no other may be in progress. The loop calls `done`.
   void call(const HttpRequest &call, Handler done);
-  /// Answers carry the value of this header.
+  /// Responses carry the value of this header in `CapturedHeader`.
   void captureHeader(std::string name) { In.captureHeader(std::move(name)); }
-  bool busy() const { return static_cast<bool>(Done); }
-  /// Ends the connection and forgets a call that is under way.
+  bool busy() const { return static_cast<bool>(Callback); }
+  /// Closes the connection and drops the call in progress without calling back.
   void close();
-  /// When `expire` has something to do; far away without a call.
+  /// When `expire` has something to do; `Time::max()` without a call.
   Time deadline() const { return Deadline; }
-  /// Ends a call whose time is over.
+  /// Ends the call if its timeout has passed.
   void expire(Time now);
 
 private:
@@ -128,24 +129,24 @@
   void finish(Result result);
 
   EventLoop &Events;
-  uint32_t From;
+  uint32_t SourceIp;
   Address Server;
   FileDescriptor Socket;
   bool Connected = false;
-  /// The connection has served a call: it may have been closed by the server
-  /// in between, which a fresh one has not.
-  bool Used = false;
+  /// The connection has served a call. The server may have closed it since as
+  /// idle; a new connection can't have been closed for that reason.
+  bool HasServedCall = false;
   std::string Out;
   HttpMessageReader In{HTTP_RESPONSE};
-  Handler Done;
+  Handler Callback;
   Time Deadline = Time::max();
-  /// Of a call whose time limit counts anew with all that arrives.
+  /// Set for a call with `ExtendTimeoutOnData`.
   std::optional<Duration> SilenceLimit;
-  Time CalledAt;
+  Time StartedAt;
   std::optional<Time> FirstByteAt;
 };
 
-/// Answers requests at once, from one handler.
+/// Answers each request immediately, with one handler for all targets.
 class HttpServer {
 public:
   using Handler = std::function<HttpResponse(const std::string &target)>;
@@ -155,7 +156,7 @@
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
 
-  /// Closes connections that have been idle for long; call it now and then.
+  /// Closes connections that are idle for too long. Call it periodically.
   void closeIdleConnections(Time now);
 
 private:
@@ -175,7 +176,7 @@
 
   EventLoop &Events;
   FileDescriptor Listener;
-  Handler Answer;
+  Handler Respond;
   std::map<int, std::unique_ptr<Connection>> Connections;
 };
 
--- a/lib/edge/Log.cpp
+++ b/lib/edge/Log.cpp
@@ -62,22 +62,22 @@
       duration_cast<milliseconds>(system_clock::now().time_since_epoch())
           .count();
   constexpr int64_t MsPerSecond = 1000;
-  RateCounter &repeats = Seen[line.rateLimitKey()];
-  if (repeats.Second != ms / MsPerSecond) {
-    repeats.Second = ms / MsPerSecond;
-    repeats.Written = 0;
+  RateCounter &counter = RateCounters[line.rateLimitKey()];
+  if (counter.Second != ms / MsPerSecond) {
+    counter.Second = ms / MsPerSecond;
+    counter.Written = 0;
   }
-  if (repeats.Written >= LinesPerSecond) {
-    ++repeats.LeftOut;
+  if (counter.Written >= LinesPerSecond) {
+    ++counter.Suppressed;
     return;
   }
-  ++repeats.Written;
+  ++counter.Written;
   std::string out = "at_ms=" + std::to_string(ms) + " instance=" + Instance +
                     " event=" + line.event() + line.text();
-  if (repeats.LeftOut != 0)
-    out += " left_out=" + std::to_string(std::exchange(repeats.LeftOut, 0));
+  if (counter.Suppressed != 0)
+    out += " left_out=" + std::to_string(std::exchange(counter.Suppressed, 0));
   out += '\n';
-  // A reader that is too slow loses lines; it must not stop the instance.
+  // A slow reader loses lines; it must not block the instance.
   [[maybe_unused]] ssize_t n = ::write(Fd, out.data(), out.size());
 }
 
--- a/lib/edge/Log.h
+++ b/lib/edge/Log.h
@@ -1,4 +1,4 @@
-// Log lines of an edge instance: one key=value line for each event.
+// The log of an edge instance: one line of key=value pairs for each event.
 
 #ifndef CHICORYBANK_LIB_EDGE_LOG_H
 #define CHICORYBANK_LIB_EDGE_LOG_H
@@ -10,7 +10,7 @@
 
 namespace chicory::edge {
 
-/// One line under construction.
+/// Builds one log line.
 ///
 ///   log.write(LogLine("reload").with("settings", path));
 class LogLine {
@@ -23,8 +23,8 @@
   }
 
   const std::string &event() const { return Event; }
-  /// Lines of one kind share a bound; each reason is a kind of its own, so that
-  /// many of one never hide another.
+  /// Lines with the same key share a rate limit. Each reason has its own key,
+  /// so that a flood of one reason never suppresses the lines of another.
   const std::string &rateLimitKey() const {
     return RateLimitKey.empty() ? Event : RateLimitKey;
   }
@@ -37,16 +37,17 @@
   std::string Text;
 };
 
-/// The line of a decision of the core. Lines are written in batches, so it
-/// says how long ago the decision was made.
+/// Builds the log line of a decision of the core. Lines are written in batches,
+/// so `ago_ms` is the time since the decision was made.
 LogLine decisionLine(const token::Decision &decision, Time now);
 
-/// Writes lines to a descriptor and never waits for it.
+/// Writes lines to a file descriptor without blocking.
 ///
-/// Lines of one kind above a number in a second are counted in place of being
-/// written; the next line that is written says how many were left out.
+/// Lines above the rate limit of their key are counted instead of written. The
+/// next line with that key has the count in `left_out`.
 class Log {
 public:
+  /// The rate limit of each key.
   static constexpr uint32_t LinesPerSecond = 20;
 
   Log(int fd, std::string instance) : Fd(fd), Instance(std::move(instance)) {}
@@ -57,12 +58,12 @@
   struct RateCounter {
     int64_t Second = 0;
     uint32_t Written = 0;
-    uint64_t LeftOut = 0;
+    uint64_t Suppressed = 0;
   };
 
   int Fd;
   std::string Instance;
-  std::map<std::string, RateCounter> Seen;
+  std::map<std::string, RateCounter> RateCounters;
 };
 
 } // namespace chicory::edge
--- a/lib/edge/Metrics.cpp
+++ b/lib/edge/Metrics.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-void head(std::ostringstream &out, const char *name, const char *type,
-          const char *help) {
+void header(std::ostringstream &out, const char *name, const char *type,
+            const char *help) {
   out << "# HELP " << name << ' ' << help << "\n# TYPE " << name << ' ' << type
       << '\n';
 }
 
 template <typename T>
-void single(std::ostringstream &out, const char *name, const char *type,
+void scalar(std::ostringstream &out, const char *name, const char *type,
             const char *help, T value) {
-  head(out, name, type, help);
+  header(out, name, type, help);
   out << name << ' ' << value << '\n';
 }
 
 void byReason(std::ostringstream &out, const char *name, const char *help,
               const std::array<uint64_t, ReasonCount> &counts) {
-  head(out, name, "counter", help);
+  header(out, name, "counter", help);
   for (size_t n = 1; n < ReasonCount; ++n)
     out << name << "{reason=\"" << reasonName(static_cast<Reason>(n)) << "\"} "
         << counts[n] << '\n';
@@ -30,7 +30,7 @@
 void histogram(std::ostringstream &out, const char *name, const char *help,
                const token::Histogram &values) {
   using Seconds = std::chrono::duration<double>;
-  head(out, name, "histogram", help);
+  header(out, name, "histogram", help);
   uint64_t below = 0;
   for (size_t n = 0; n < token::Histogram::Bounds.size(); ++n) {
     below += values.count(n);
@@ -46,136 +46,142 @@
 
 void byKind(std::ostringstream &out, const char *name, const char *help,
             const std::array<uint64_t, CallKindCount> &counts) {
-  head(out, name, "counter", help);
+  header(out, name, "counter", help);
   for (size_t n = 0; n < CallKindCount; ++n)
     out << name << "{kind=\"" << callKindName(static_cast<CallKind>(n))
         << "\"} " << counts[n] << '\n';
 }
 
-void registryFigures(std::ostringstream &out, const NewsStats &news,
+void registryMetrics(std::ostringstream &out, const NewsStats &watcher,
                      const RegistryCallCounts &calls) {
   byKind(out, "chicory_registry_calls_total", "Registry calls, by kind",
          calls.Sent);
   byKind(out, "chicory_registry_refused_total",
          "Registry calls refused with 429 or 503, by kind", calls.Refused);
-  single(out, "chicory_registry_failures_total", "counter",
-         "Registry calls without a good answer", news.Failures);
-  single(out, "chicory_bad_registry_answers_total", "counter",
-         "Answers that can't be read", news.BadAnswers);
-  single(out, "chicory_registry_generations_total", "counter",
-         "Restores of the registry that were noticed", news.Generations);
-  single(out, "chicory_registry_items_lost_total", "counter",
-         "Items that a restore lost and nobody wrote again", news.HeldEnded);
-  single(out, "chicory_news_pushes_other_generation_total", "counter",
-         "Pushes of another generation than this instance's copy",
-         news.OtherGenerations);
-  single(out, "chicory_registry_revisions_behind_total", "counter",
-         "Answers with a revision below that of this instance's copy",
-         news.RevisionsBehind);
-  single(out, "chicory_bad_registry_items_total", "counter",
-         "Items that can't be read", news.BadItems);
+  scalar(out, "chicory_registry_failures_total", "counter",
+         "Registry calls without a valid response", watcher.Failures);
+  scalar(out, "chicory_bad_registry_answers_total", "counter",
+         "Registry responses that can't be parsed", watcher.BadAnswers);
+  scalar(out, "chicory_registry_generations_total", "counter",
+         "Detected restores of the registry", watcher.Generations);
+  scalar(out, "chicory_registry_items_lost_total", "counter",
+         "Items lost in a restore of the registry and not written again",
+         watcher.HeldEnded);
+  scalar(out, "chicory_news_pushes_other_generation_total", "counter",
+         "Pushes with another generation than this instance's copy",
+         watcher.OtherGenerations);
+  scalar(
+      out, "chicory_registry_revisions_behind_total", "counter",
+      "Registry responses with a revision below that of this instance's copy",
+      watcher.RevisionsBehind);
+  scalar(out, "chicory_bad_registry_items_total", "counter",
+         "Registry items that can't be parsed", watcher.BadItems);
 }
 
-void recordFigures(std::ostringstream &out, const WriteStats &recorder) {
-  single(out, "chicory_route_record_writes_total", "counter",
-         "Writes of the record of routes that held", recorder.Written);
-  single(out, "chicory_route_record_refused_total", "counter",
-         "Writes of the record of routes after another instance's",
-         recorder.Refused);
-  single(out, "chicory_route_record_failures_total", "counter",
-         "Writes of the record of routes without a good answer",
-         recorder.Failed);
+void routeHistoryMetrics(std::ostringstream &out,
+                         const WriteStats &routeHistory) {
+  scalar(out, "chicory_route_record_writes_total", "counter",
+         "Successful writes of the route history", routeHistory.Written);
+  scalar(out, "chicory_route_record_refused_total", "counter",
+         "Writes of the route history refused after another instance's write",
+         routeHistory.Refused);
+  scalar(out, "chicory_route_record_failures_total", "counter",
+         "Writes of the route history without a valid response",
+         routeHistory.Failed);
 }
 
-void peerFigures(std::ostringstream &out, const NewsStats &news,
+void peerMetrics(std::ostringstream &out, const NewsStats &watcher,
                  const PeerMessageStats &peers) {
-  single(out, "chicory_news_pushes_total", "counter",
-         "Pushes of news from other instances", news.Pushes);
-  single(out, "chicory_news_pulls_total", "counter",
-         "News read from other instances", news.Pulls);
-  single(out, "chicory_news_whole_pulls_total", "counter",
-         "Of those, the ones that read everything", news.WholePulls);
-  single(out, "chicory_peer_messages_total", "counter",
-         "Messages sent to other instances", peers.Messages);
-  single(out, "chicory_peer_bytes_total", "counter",
-         "Bytes of messages sent to other instances", peers.Bytes);
-  single(out, "chicory_bad_peer_messages_total", "counter",
-         "Messages from instances that can't be read", peers.Malformed);
-  single(out, "chicory_doubts_heard_total", "counter",
-         "Messages of instances that can't reach a backend server",
+  scalar(out, "chicory_news_pushes_total", "counter",
+         "Registry updates pushed by other instances", watcher.Pushes);
+  scalar(out, "chicory_news_pulls_total", "counter",
+         "Pages of registry updates pulled from other instances",
+         watcher.Pulls);
+  scalar(out, "chicory_news_whole_pulls_total", "counter",
+         "Full copies pulled from other instances", watcher.WholePulls);
+  scalar(out, "chicory_peer_messages_total", "counter",
+         "Datagrams sent to other instances", peers.Messages);
+  scalar(out, "chicory_peer_bytes_total", "counter",
+         "Bytes of datagrams sent to other instances", peers.Bytes);
+  scalar(out, "chicory_bad_peer_messages_total", "counter",
+         "Datagrams from other instances that can't be parsed",
+         peers.Malformed);
+  scalar(out, "chicory_doubts_heard_total", "counter",
+         "Reports from other instances of an unreachable backend server",
          peers.UnreachableReports);
 }
 
 } // namespace
 
-std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &news,
+std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &watcher,
                               const RegistryCallCounts &calls,
                               const PeerMessageStats &peers,
-                              const WriteStats &recorder) {
+                              const WriteStats &routeHistory) {
   std::ostringstream out;
   byReason(out, "chicory_drops_total", "Packets dropped, by reason",
            edge.Core.Drops);
   byReason(out, "chicory_resets_total", "Flows reset, by reason",
            edge.Core.Resets);
-  byReason(out, "chicory_retries_total", "Openings sent again, by reason",
+  byReason(out, "chicory_retries_total", "Openings retried, by reason",
            edge.Core.Retries);
-  single(out, "chicory_packets_total", "counter", "Packets of callers",
+  scalar(out, "chicory_packets_total", "counter", "Packets from callers",
          edge.Core.Packets);
-  single(out, "chicory_forwarded_total", "counter",
+  scalar(out, "chicory_forwarded_total", "counter",
          "Packets sent to backend servers", edge.Core.Forwarded);
-  single(out, "chicory_opened_total", "counter", "Flows placed",
-         edge.Core.Opened);
-  single(out, "chicory_probes_total", "counter",
-         "Connections opened to see whether a backend server can be reached",
+  scalar(out, "chicory_opened_total", "counter",
+         "Flows assigned to a backend server", edge.Core.Opened);
+  scalar(out, "chicory_probes_total", "counter",
+         "Connections opened to probe whether a backend server is reachable",
          edge.Core.Probes);
-  single(out, "chicory_probes_failed_total", "counter",
-         "Probes that were refused or not answered in time",
-         edge.Core.ProbesFailed);
+  scalar(out, "chicory_probes_failed_total", "counter",
+         "Probes that were refused or timed out", edge.Core.ProbesFailed);
   histogram(out, "chicory_handshake_seconds",
-            "From an opening sent to the caller's next packet",
+            "Time from forwarding an opening to the caller's next packet",
             edge.Core.HandshakeTime);
   histogram(out, "chicory_request_seconds",
-            "From a request's data to the first sign of its answer",
+            "Time from a request's data to the first sign of its response",
             edge.Core.RequestTime);
   histogram(out, "chicory_routes_age_seconds",
-            "Age of a version when it came into force here",
+            "Age of a rule version when it came into force on this instance",
             edge.Core.RoutesAge);
   histogram(out, "chicory_batch_seconds",
-            "Time for one batch of packets, from reading to sending",
+            "Time to process one batch of packets, from reading to sending",
             edge.BatchTime);
-  single(out, "chicory_bad_packets_total", "counter",
-         "Datagrams that can't be read", edge.BadPackets);
-  single(out, "chicory_old_openings_total", "counter",
-         "Openings dropped because they waited while the process stood still",
+  scalar(out, "chicory_bad_packets_total", "counter",
+         "Datagrams from callers that can't be parsed", edge.BadPackets);
+  scalar(out, "chicory_old_openings_total", "counter",
+         "Openings dropped because they waited while the process was suspended",
          edge.StaleOpenings);
-  single(out, "chicory_send_failures_total", "counter",
-         "Datagrams that the system refused", edge.SendFailures);
-  single(out, "chicory_log_lines_dropped_total", "counter",
-         "Decisions lost before the log", edge.LogsDropped);
-  registryFigures(out, news, calls);
-  recordFigures(out, recorder);
-  peerFigures(out, news, peers);
-  single(out, "chicory_flows", "gauge", "Flows followed", edge.Flows);
-  single(out, "chicory_servers", "gauge", "Backend servers that live",
+  scalar(out, "chicory_send_failures_total", "counter",
+         "Datagrams that the system failed to send", edge.SendFailures);
+  scalar(out, "chicory_log_lines_dropped_total", "counter",
+         "Decisions dropped before they were logged", edge.LogsDropped);
+  registryMetrics(out, watcher, calls);
+  routeHistoryMetrics(out, routeHistory);
+  peerMetrics(out, watcher, peers);
+  scalar(out, "chicory_flows", "gauge", "Tracked flows", edge.Flows);
+  scalar(out, "chicory_servers", "gauge", "Running backend servers",
          edge.Servers);
-  single(out, "chicory_routes", "gauge", "Routes in force", edge.Routes);
-  single(out, "chicory_rule_version", "gauge", "Version in force",
+  scalar(out, "chicory_routes", "gauge", "Routes in force", edge.Routes);
+  scalar(out, "chicory_rule_version", "gauge", "Rule version in force",
          edge.RuleVersion);
-  head(out, "chicory_zone_drained_seconds", "gauge",
-       "Since a zone's servers get no new flows from here");
+  header(out, "chicory_zone_drained_seconds", "gauge",
+         "Time since a zone's servers stopped receiving new flows");
   for (const auto &[zone, since] : edge.Drained)
     out << "chicory_zone_drained_seconds{zone=\"" << zone << "\"} "
         << std::chrono::duration<double>(steadyNow() - since).count() << '\n';
-  single(out, "chicory_news_age_seconds", "gauge",
-         "Since the news was last shown to be current", edge.UpdateAgeSeconds);
+  scalar(out, "chicory_news_age_seconds", "gauge",
+         "Age of the registry updates: time since they were last confirmed "
+         "current",
+         edge.UpdateAgeSeconds);
   return out.str();
 }
 
-HttpResponse metricsResponse(SharedState &shared, const RegistrySync &news) {
+HttpResponse metricsResponse(SharedState &shared, const RegistrySync &sync) {
   return {.Status = HttpOk,
           .Body =
-              renderEdgeMetrics(shared.stats(), news.stats(), news.callCounts(),
-                                news.peerStats(), news.routeHistoryStats()),
+              renderEdgeMetrics(shared.stats(), sync.stats(), sync.callCounts(),
+                                sync.peerStats(), sync.routeHistoryStats()),
           .ContentType = "text/plain; version=0.0.4"};
 }
 
--- a/lib/edge/Metrics.h
+++ b/lib/edge/Metrics.h
@@ -1,4 +1,4 @@
-// Metrics of an edge instance in Prometheus' text format.
+// Metrics of an edge instance in the Prometheus text format.
 
 #ifndef CHICORYBANK_LIB_EDGE_METRICS_H
 #define CHICORYBANK_LIB_EDGE_METRICS_H
@@ -9,14 +9,14 @@
 
 namespace chicory::edge {
 
-/// All figures as text.
-std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &news,
+/// Renders all metrics.
+std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &watcher,
                               const RegistryCallCounts &calls,
                               const PeerMessageStats &peers,
-                              const WriteStats &recorder);
+                              const WriteStats &routeHistory);
 
-/// Answers "/metrics".
-HttpResponse metricsResponse(SharedState &shared, const RegistrySync &news);
+/// Returns the response to a request for "/metrics".
+HttpResponse metricsResponse(SharedState &shared, const RegistrySync &sync);
 
 } // namespace chicory::edge
 
--- a/lib/edge/PacketWorker.cpp
+++ b/lib/edge/PacketWorker.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-// How long packets wait for the first news after the start: callers send an
-// opening or data again after 200 ms.
-constexpr Duration HoldAtStart = std::chrono::milliseconds(200);
-// The loop publishes each 250 ms; the rest is for a thread that gets its turn
-// late. A longer turn shows that the process or its machine stood still.
-constexpr Duration LongestTurn = std::chrono::milliseconds(650);
-// Metrics and the ready probe look at figures that are at most this old.
-constexpr Duration PublishEvery = std::chrono::milliseconds(250);
+// How long packets may wait for the first registry updates after the start.
+// Callers retransmit an opening or data after 200 ms.
+constexpr Duration MaxHold = std::chrono::milliseconds(200);
+// The loop publishes every 250 ms; the rest allows for a thread that is
+// scheduled late. A longer turn means that the process or its machine was
+// suspended.
+constexpr Duration MaxTurn = std::chrono::milliseconds(650);
+// The maximum age of the state that metrics and readiness probes read.
+constexpr Duration PublishInterval = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -43,7 +44,8 @@
     int n = ::sendmmsg(Socket, &Messages[at], static_cast<unsigned>(Count - at),
                        MSG_DONTWAIT);
     if (n <= 0) {
-      // A datagram that can't be sent is lost like any other; ends repeat it.
+      // A datagram that can't be sent counts as lost. Its sender retransmits
+      // it.
       ++Failures;
       ++at;
       continue;
@@ -55,19 +57,21 @@
 
 PacketWorker::PacketWorker(const EdgeSettings &settings, const Framing &framing,
                            FileDescriptor packets, SharedState &shared)
-    : Frames(framing), Common(shared), Packets(std::move(packets)),
+    : Frames(framing), State(shared), Packets(std::move(packets)),
       Core(settings.Core), Batch(Packets.get()), Probes(Events, settings.Ip),
-      Turns(LongestTurn), Hold(settings.Core.Use.HoldAtStart) {
-  Common.PacketWakeup.attach(Events);
+      Suspension(MaxTurn), HoldPackets(settings.Core.Use.HoldAtStart) {
+  State.PacketWakeup.attach(Events);
 }
 
-/// Packets that come before the first news wait in the socket. Dropping them
-/// would cost their callers a retransmission of 200 ms or more, just when all
-/// of them return after an outage; one sees drops for `no_match` right after
-/// the start. Packets that have waited for longer than their callers take to
-/// send them again are worth nothing, so the wait has an end.
-void PacketWorker::beginReading(Time now) {
-  bool wait = Hold && !Core.carries() && !Core.serves() && now < HoldUntil;
+/// Starts to read packets once routes are known or `HoldUntil` has passed.
+/// Earlier packets wait in the socket. Dropping them would cost their callers a
+/// retransmission after 200 ms or more, just when all callers return after an
+/// outage; the symptom is drops for `no_match` right after the start. Packets
+/// that have waited longer than the retransmission timeout are superseded by
+/// their copies, so the wait has a limit.
+void PacketWorker::startReading(Time now) {
+  bool wait =
+      HoldPackets && !Core.carries() && !Core.serves() && now < HoldUntil;
   if (Reading || wait)
     return;
   Reading = true;
@@ -75,16 +79,16 @@
 }
 
 void PacketWorker::run() {
-  HoldUntil = steadyNow() + HoldAtStart;
-  while (!Common.Stopped) {
+  HoldUntil = steadyNow() + MaxHold;
+  while (!State.Stopped) {
     Time now = steadyNow();
     Time next = std::min({Core.nextTick(now), PublishAt, Probes.nextAt()});
     Events.wait(std::max(next - now, Duration::zero()));
     now = steadyNow();
-    Turns.recordTurn(bootTimeNow());
-    takeNews(now);
-    beginReading(now);
-    takeProbes(now);
+    Suspension.recordTurn(bootTimeNow());
+    applyUpdates(now);
+    startReading(now);
+    applyProbeResults(now);
     if (now >= Core.nextTick(now) || now >= PublishAt)
       tick(now);
   }
@@ -102,8 +106,8 @@
   int count = ::recvmmsg(Packets.get(), messages.data(), SendBatch::Size,
                          MSG_DONTWAIT, nullptr);
   Time now = steadyNow();
-  if (Turns.wasSuspended(bootTimeNow()))
-    StaleOpenings = true;
+  if (Suspension.wasSuspended(bootTimeNow()))
+    OpeningsMayBeStale = true;
   for (int n = 0; n < count; ++n) {
     token::Bytes raw(Received[n].data(), messages[n].msg_len);
     auto head = Frames.read(raw);
@@ -111,27 +115,27 @@
       ++Stats.BadPackets;
       continue;
     }
-    // A copy of an old opening may have opened the flow elsewhere meanwhile. A
-    // second server that answers would get the flow's token; a caller that
-    // still waits sends a copy.
-    if (StaleOpenings && head->Open) {
+    // A copy of a stale opening may have opened the flow at another server in
+    // the meantime. If a second server answered as well, the flow's token would
+    // name that one. A caller that still waits retransmits its opening.
+    if (OpeningsMayBeStale && head->Open) {
       ++Stats.StaleOpenings;
       continue;
     }
     handle(token::PacketSeen{.Head = *head, .Raw = raw}, now);
   }
   if (count < static_cast<int>(SendBatch::Size))
-    StaleOpenings = false;
+    OpeningsMayBeStale = false;
   Batch.flush();
   Stats.BatchTime.add(steadyNow() - now);
 }
 
 void PacketWorker::handle(const token::Event &event, Time now) {
   Core.handle(event, now, Actions);
-  carryOut();
+  executeActions();
 }
 
-void PacketWorker::carryOut() {
+void PacketWorker::executeActions() {
   for (const token::Action &it : Actions) {
     if (const auto *forward = std::get_if<token::Forward>(&it)) {
       size_t size = Frames.writeForward(*forward, Batch.nextBuffer());
@@ -141,27 +145,27 @@
       Batch.add(size, Frames.callerAddress(reset->Flow));
     } else if (const auto *probe = std::get_if<token::ProbeBackend>(&it)) {
       Probes.start(*probe, steadyNow());
-    } else if (const auto *doubt = std::get_if<token::ShareDoubt>(&it)) {
-      if (Common.UnreachableBackends.try_enqueue(doubt->Id))
-        Common.ControlWakeup.wake();
+    } else if (const auto *unreachable = std::get_if<token::ShareDoubt>(&it)) {
+      if (State.UnreachableBackends.try_enqueue(unreachable->Id))
+        State.ControlWakeup.wake();
     } else if (const auto *decision = std::get_if<token::Decision>(&it)) {
-      if (!Common.Decisions.try_enqueue(*decision))
+      if (!State.Decisions.try_enqueue(*decision))
         ++Stats.LogsDropped;
     }
   }
   Actions.clear();
 }
 
-void PacketWorker::takeNews(Time now) {
+void PacketWorker::applyUpdates(Time now) {
   token::Event event;
-  while (Common.Updates.try_dequeue(event))
+  while (State.Updates.try_dequeue(event))
     handle(event, now);
   Batch.flush();
   if (Core.serves())
-    Common.ReadyToServe = true;
+    State.ReadyToServe = true;
 }
 
-void PacketWorker::takeProbes(Time now) {
+void PacketWorker::applyProbeResults(Time now) {
   std::vector<token::ProbeEnded> ended = Probes.takeEnded(now);
   for (const token::ProbeEnded &it : ended)
     handle(it, now);
@@ -176,7 +180,7 @@
 }
 
 void PacketWorker::publish(Time now) {
-  PublishAt = now + PublishEvery;
+  PublishAt = now + PublishInterval;
   Stats.Core = Core.stats();
   Stats.SendFailures = Batch.failures();
   Stats.Flows = Core.flows();
@@ -186,7 +190,7 @@
   Stats.Drained = Core.backends().drainedZones();
   Stats.UpdateAgeSeconds =
       std::chrono::duration<double>(now - Core.newsCurrentAt()).count();
-  Common.publish(Stats);
+  State.publish(Stats);
 }
 
 } // namespace chicory::edge
--- a/lib/edge/PacketWorker.h
+++ b/lib/edge/PacketWorker.h
@@ -1,5 +1,5 @@
-// The packet thread: reads callers' packets in batches, lets the core decide,
-// sends what it says.
+// The packet thread: reads callers' packets in batches, passes them to the core
+// and executes the actions that it returns.
 
 #ifndef CHICORYBANK_LIB_EDGE_PACKETWORKER_H
 #define CHICORYBANK_LIB_EDGE_PACKETWORKER_H
@@ -16,15 +16,16 @@
 
 namespace chicory::edge {
 
-/// Datagrams that go out with one system call.
+/// Collects datagrams and sends them with one system call.
 class SendBatch {
 public:
   static constexpr size_t Size = 32;
 
   explicit SendBatch(int socket);
-  /// Room for the next datagram; sends first where there is none.
+  /// Returns the buffer for the next datagram. Flushes first if the batch is
+  /// full.
   Framing::Buffer nextBuffer();
-  /// Takes what was written to `next`.
+  /// Adds the `size` bytes that were written to `nextBuffer`.
   void add(size_t size, Address to);
   void flush();
   uint64_t failures() const { return Failures; }
@@ -39,7 +40,7 @@
   std::array<mmsghdr, Size> Messages{};
 };
 
-/// Runs on a thread of its own until `Shared::Ended`.
+/// Runs an event loop on its own thread until `SharedState::Stopped`.
 class PacketWorker {
 public:
   PacketWorker(const EdgeSettings &settings, const Framing &framing,
@@ -48,17 +49,17 @@
   void run();
 
 private:
-  void beginReading(Time now);
+  void startReading(Time now);
   void readPackets();
-  void takeNews(Time now);
+  void applyUpdates(Time now);
   void tick(Time now);
-  void takeProbes(Time now);
+  void applyProbeResults(Time now);
   void handle(const token::Event &event, Time now);
-  void carryOut();
+  void executeActions();
   void publish(Time now);
 
   const Framing &Frames;
-  SharedState &Common;
+  SharedState &State;
   FileDescriptor Packets;
   EventLoop Events;
   token::Core Core;
@@ -69,14 +70,14 @@
       Received;
   EdgeStats Stats;
   Time PublishAt;
-  /// Until when packets wait for the first news.
+  /// Until when packets may wait for the first registry updates.
   Time HoldUntil;
   bool Reading = false;
-  SuspensionDetector Turns;
-  /// Packets before the first news wait for it.
-  bool Hold;
-  /// Openings in the socket may be from before a pause.
-  bool StaleOpenings = false;
+  SuspensionDetector Suspension;
+  /// Whether packets wait for the first registry updates.
+  bool HoldPackets;
+  /// Openings in the socket may be from before a suspension.
+  bool OpeningsMayBeStale = false;
 };
 
 } // namespace chicory::edge
--- a/lib/edge/PeerPages.cpp
+++ b/lib/edge/PeerPages.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-// Peers answer from memory; one that sends nothing for this long is slow or
-// gone. A large answer over a small link takes longer as a whole.
+// Peers answer from memory, so a peer that sends nothing for this long is
+// overloaded or unreachable. A large response over a slow link may take longer
+// in total.
 constexpr Duration PeerTimeout = std::chrono::milliseconds(500);
 constexpr const char *PageType = "application/octet-stream";
 
-/// A position in the path of a call: "2.415".
+/// Formats a position for a request target, such as "2.415".
 std::string positionText(Position position) {
   return std::to_string(position.Generation.Value) + '.' +
          std::to_string(position.Revision);
@@ -29,7 +30,7 @@
                   .Revision = static_cast<int64_t>(*revision)};
 }
 
-void takeResult(const HttpClient::Result &result, PageResult &out) {
+void parseResult(const HttpClient::Result &result, PageResult &out) {
   if (!result) {
     out.Error = httpFailureName(result.error());
     return;
@@ -56,23 +57,25 @@
           : std::nullopt;
   if (!since && target != Whole)
     return {.Status = HttpNotFound};
-  if (since && !Copy.reachesBackTo(*since))
+  if (since && !Cache.reachesBackTo(*since))
     return {.Status = HttpGone};
-  // All that read after one push ask for the same.
-  bool same = Last.Target == target && Last.At == Copy.position() &&
-              Last.Digest == Copy.digest();
+  // All instances that pull after the same push request the same page.
+  bool same = LastServed.Target == target &&
+              LastServed.At == Cache.position() &&
+              LastServed.Digest == Cache.digest();
   if (!same)
-    Last = {.Target = target,
-            .At = Copy.position(),
-            .Digest = Copy.digest(),
-            .Bytes = encodePage(since ? *Copy.since(*since) : Copy.whole())};
-  return {.Status = HttpOk, .Body = Last.Bytes, .ContentType = PageType};
+    LastServed = {.Target = target,
+                  .At = Cache.position(),
+                  .Digest = Cache.digest(),
+                  .Bytes =
+                      encodePage(since ? *Cache.since(*since) : Cache.whole())};
+  return {.Status = HttpOk, .Body = LastServed.Bytes, .ContentType = PageType};
 }
 
 void PeerPages::read(InstanceId peer, Address at, std::optional<Position> since,
                      Handler done) {
   if (!Client || PeerId != peer) {
-    Client = std::make_unique<HttpClient>(Events, From, at);
+    Client = std::make_unique<HttpClient>(Events, SourceIp, at);
     PeerId = peer;
   }
   std::string target = "/news";
@@ -84,7 +87,7 @@
                [peer, whole = !since,
                 done = std::move(done)](const HttpClient::Result &result) {
                  PageResult out{.Peer = peer, .Full = whole};
-                 takeResult(result, out);
+                 parseResult(result, out);
                  done(std::move(out));
                });
 }
--- a/lib/edge/PeerPages.h
+++ b/lib/edge/PeerPages.h
@@ -1,5 +1,6 @@
-// Pages of news that instances read from each other, over HTTP: what does not
-// fit into a push, and everything, for an instance that starts.
+// Pages of registry items that instances read from each other over HTTP:
+// changes that do not fit into a push, and full copies for an instance that
+// starts.
 
 #ifndef CHICORYBANK_LIB_EDGE_PEERPAGES_H
 #define CHICORYBANK_LIB_EDGE_PEERPAGES_H
@@ -15,43 +16,44 @@
 
 namespace chicory::edge {
 
-/// How the reading of a page ended.
+/// The result of reading a page from another instance.
 struct PageResult {
   InstanceId Peer;
-  /// Everything, not the changes behind a position.
+  /// A full copy was requested, not the changes since a position.
   bool Full = false;
   std::optional<ItemPage> Page;
-  /// The sender's history does not reach back to the position.
+  /// The peer's history does not reach back to the position.
   bool HistoryTooShort = false;
-  /// Why there is no page, for the log; empty where there is one.
+  /// Why there is no page, for the log; empty if there is one.
   std::string Error;
 };
 
-/// Serves pages of this instance's copy, and reads those of one other instance
-/// at a time.
+/// Serves pages of this instance's registry cache, and reads pages from one
+/// other instance at a time.
 class PeerPages {
 public:
   using Handler = std::function<void(PageResult)>;
 
-  /// Connections come from the IP `from`. `copy` is what others read.
-  PeerPages(EventLoop &loop, uint32_t from, const Mirror &copy)
-      : Events(loop), From(from), Copy(copy) {}
+  /// `from`: the local IP of the connections. `cache`: served to others.
+  PeerPages(EventLoop &loop, uint32_t from, const Mirror &cache)
+      : Events(loop), SourceIp(from), Cache(cache) {}
 
-  /// Answers another instance: "/news" is everything, "/news?after=2.415" the
-  /// changes behind a position.
+  /// Answers another instance: "/news" returns a full copy, "/news?after=2.415"
+  /// the changes since generation 2, revision 415.
   HttpResponse answer(const std::string &target);
 
   bool busy() const { return Client && Client->busy(); }
-  /// Reads the changes behind a position, or everything. None may be under way.
+  /// Reads the changes since a position, or a full copy. No other read may be
+  /// in progress.
   void read(InstanceId peer, Address at, std::optional<Position> since,
             Handler done);
   Time deadline() const { return Client ? Client->deadline() : Time::max(); }
-  /// Ends a read whose time is over.
+  /// Ends the read if its timeout has passed.
   void expire(Time now);
 
 private:
-  /// What was served last, and of which copy.
-  struct Served {
+  /// The page that was served last, and the state of the cache then.
+  struct ServedPage {
     std::string Target;
     Position At;
     uint64_t Digest = 0;
@@ -59,11 +61,11 @@
   };
 
   EventLoop &Events;
-  uint32_t From;
-  const Mirror &Copy;
+  uint32_t SourceIp;
+  const Mirror &Cache;
   std::unique_ptr<HttpClient> Client;
   InstanceId PeerId;
-  Served Last;
+  ServedPage LastServed;
 };
 
 } // namespace chicory::edge
--- a/lib/edge/PeerUpdates.cpp
+++ b/lib/edge/PeerUpdates.cpp
@@ -1,4 +1,4 @@
-// What a news reader makes of other instances' pushes and pages.
+// How a registry watcher applies the pushes and pages of other instances.
 
 #include "chicorybank/edge/NewsReader.h"
 
@@ -9,12 +9,13 @@
 
 namespace {
 
-// News that an instance has from others may be of any age; it is told as this
-// old. All that it has to be is older than any limit.
-constexpr Duration OldestAge = std::chrono::hours(1);
+// The maximum age that a push carries. Updates from peers may be of any age;
+// the cap only has to be above every limit on the age.
+constexpr Duration MaxPushAge = std::chrono::hours(1);
 
-// A copy that differs from others' for so many paces has missed a change.
-constexpr int DiffersForPaces = 2;
+// A copy that differs from others' for this many poll intervals has missed a
+// change.
+constexpr int MaxDiffersIntervals = 2;
 
 } // namespace
 
@@ -49,10 +50,10 @@
   return false;
 }
 
-/// Another copy at this position is the same as this one, or differs. One that
-/// was listed while things changed holds some changes behind its position, and
-/// has caught up by the next push; were that taken for a missed change, lists
-/// would lead to further lists while servers register by the hundred.
+/// Compares this copy with another one at the same position. A copy that was
+/// listed during changes has some changes beyond its position, and differs
+/// until the next push. Taking that for a missed change would lead from each
+/// list to further lists while hundreds of servers register.
 void NewsReader::compare(bool differs, Time now) {
   if (!differs) {
     DiffersSince.reset();
@@ -60,33 +61,35 @@
   }
   if (!DiffersSince)
     DiffersSince = now;
-  if (now - *DiffersSince < DiffersForPaces * Times.Pace || Waiting ||
+  if (now - *DiffersSince < MaxDiffersIntervals * Times.Pace || Waiting ||
       State != Phase::Watching || now - LastList < Times.RelistLeast)
     return;
   DiffersSince.reset();
   startList(std::max(DueAt, now));
 }
 
-/// The push lacks changes that this copy lacks as well.
+/// Returns whether both the push and this copy lack changes before the push's
+/// position, so that they have to be read.
 bool NewsReader::mustRead(const NewsPush &push) const {
   return push.Page.At > Copy.position() &&
          (!push.Complete || push.Base > Copy.position());
 }
 
-/// Everything can be read from the sender. Where all instances start at once,
-/// each list is megabytes on the registry's link and a call for each of its
-/// pages; one sees that link full for half a minute, and `registry_calls` with
-/// as many lists as there are pages.
+/// Returns whether a full copy from the sender can replace the first list. When
+/// all instances start at once, each list takes megabytes on the registry's
+/// link and a call for each page. Without this, that link is saturated for half
+/// a minute, and `registry_calls` has as many lists as there are pages.
 bool NewsReader::replacesFirstList(const NewsPush &push) const {
   return firstListIsAhead() && push.Age < Times.AwayAfter &&
          push.Page.At.Generation == Told;
 }
 
-/// A list is due since this copy may have missed a change, and the push is by
-/// someone who has asked the registry since and has the same copy: there was
-/// none. Otherwise hundreds would list at once when the registry is back from
-/// an outage; one sees `registry_calls` with lists of each instance, and the
-/// registry's link full.
+/// Returns whether a push makes a due list unnecessary. The list is due because
+/// this copy may have missed a change, but the push is from an instance that
+/// has read the registry since and has the same copy, so there was no change.
+/// Without this, hundreds of instances list at once when the registry is back
+/// after an outage: `registry_calls` has lists of every instance, and the
+/// registry's link is saturated.
 bool NewsReader::settles(const NewsPush &push) const {
   bool due = State == Phase::Listing && Complete && !Waiting && After.empty();
   return due && push.Age < Times.AwayAfter && settled() &&
@@ -98,7 +101,7 @@
   ++Stats.Pulls;
   Stats.WholePulls += whole ? 1 : 0;
   std::optional<Announced> told = std::exchange(Announcement, std::nullopt);
-  // A list that has begun meanwhile goes on.
+  // A list that has started in the meantime continues.
   if (!Complete && !firstListIsAhead())
     return;
   if (whole) {
@@ -127,7 +130,7 @@
 
 NewsPush NewsReader::push(InstanceId self, Position since, Time now) const {
   NewsPush out{.Sender = self,
-               .Age = std::min(now - CurrentAt, OldestAge),
+               .Age = std::min(now - CurrentAt, MaxPushAge),
                .Base = since,
                .Digest = Copy.digest()};
   if (auto page = Copy.since(since))
--- a/lib/edge/RegistryClient.h
+++ b/lib/edge/RegistryClient.h
@@ -1,4 +1,4 @@
-// Calls of the registry's dialect over HTTP, counted by what they are for.
+// An HTTP client for the registry that counts its calls by kind.
 
 #ifndef CHICORYBANK_LIB_EDGE_REGISTRYCLIENT_H
 #define CHICORYBANK_LIB_EDGE_REGISTRYCLIENT_H
@@ -11,33 +11,33 @@
 
 namespace chicory::edge {
 
-/// Calls that were made. Counters never fall.
+/// Counters of calls, by kind. They never decrease.
 struct RegistryCallCounts {
   std::array<uint64_t, CallKindCount> Sent{};
-  /// Answered with 429 or 503.
+  /// Calls that were answered with 429 or 503.
   std::array<uint64_t, CallKindCount> Refused{};
 
-  /// Calls made, for a log line: "list:2,watch:7"; kinds without any are left
-  /// out.
+  /// Formats the calls sent for a log line, such as "list:2,watch:7". Omits
+  /// kinds without calls.
   std::string text() const;
   RegistryCallCounts &operator+=(const RegistryCallCounts &other);
 };
 
-/// One connection to the registry; one call is under way at a time.
+/// One connection to the registry, with one call in progress at a time.
 class RegistryClient {
 public:
-  /// Connections come from the IP `from`.
+  /// `from`: the local IP of the connections.
   RegistryClient(EventLoop &loop, uint32_t from, Address registry,
                  const RegistryDialect &dialect)
       : Http(loop, from, registry) {
     Http.captureHeader(dialect.generationHeader());
   }
 
-  /// `timeout`: without any byte of the answer.
+  /// Starts a call. It fails once no byte has arrived for `timeout`.
   void call(RegistryCall call, Duration timeout, HttpClient::Handler done);
   bool busy() const { return Http.busy(); }
   Time deadline() const { return Http.deadline(); }
-  /// Ends a call whose time is over.
+  /// Ends the call if its timeout has passed.
   void expire(Time now) { Http.expire(now); }
   const RegistryCallCounts &counts() const { return Counts; }
 
@@ -46,7 +46,7 @@
   RegistryCallCounts Counts;
 };
 
-/// An answer as the state machines take it.
+/// Converts a result to the form that the registry state machines take.
 inline NewsAnswer toRegistryAnswer(const HttpClient::Result &result,
                                    const RegistryDialect &dialect) {
   if (!result)
--- a/lib/edge/RegistrySync.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr size_t ReadBytes = 2048;
-constexpr int ReadsAtOnce = 64;
+constexpr size_t ReceiveBufferBytes = 2048;
+constexpr int MaxReadsPerEvent = 64;
 
-/// Who told news, for the log; no instance is the registry itself.
-std::string senderName(InstanceId from) {
+/// Returns the source of updates for log lines. The default id stands for the
+/// registry.
+std::string sourceName(InstanceId from) {
   return from.Value == 0 ? "registry" : formatIp(from.Value);
 }
 
@@ -23,138 +24,143 @@
                            const EdgeSettings &settings,
                            const RegistryDialect &dialect,
                            FileDescriptor socket, SharedState &shared)
-    : Lines(log), Settings(settings), Dialect(dialect), Common(shared),
+    : Logger(log), Settings(settings), Dialect(dialect), State(shared),
       Events(loop), Socket(std::move(socket)),
-      Reader(dialect, settings.Watcher, settings.Core.Seed, settings.Zone),
-      Spread({.Self = InstanceId{settings.Ip},
-              .Zone = settings.Zone,
-              .Pace = settings.Watcher.Pace,
-              .ApplyWithin = settings.Core.ApplyWithin,
-              .RetryMost = settings.Watcher.RetryMost,
-              .Seed = settings.Core.Seed}),
-      Records(loop, log, settings, dialect, Reader.mirror()),
+      Watcher(dialect, settings.Watcher, settings.Core.Seed, settings.Zone),
+      Tree({.Self = InstanceId{settings.Ip},
+            .Zone = settings.Zone,
+            .Pace = settings.Watcher.Pace,
+            .ApplyWithin = settings.Core.ApplyWithin,
+            .RetryMost = settings.Watcher.RetryMost,
+            .Seed = settings.Core.Seed}),
+      Writer(loop, log, settings, dialect, Watcher.mirror()),
       Registry(loop, settings.Ip, settings.Registry, dialect),
-      Pages(loop, settings.Ip, Reader.mirror()),
-      Others(InstanceId{settings.Ip}, settings.Zone) {
-  Reader.setPatience(Spread.patience(), Spread.retryMost());
-  Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { readPushes(); });
+      Pages(loop, settings.Ip, Watcher.mirror()),
+      Peers(InstanceId{settings.Ip}, settings.Zone) {
+  Watcher.setPatience(Tree.patience(), Tree.retryMost());
+  Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { receiveMessages(); });
 }
 
 void RegistrySync::run(Time now) {
   Registry.expire(now);
   Pages.expire(now);
-  passNews();
-  shareDoubts(now);
-  learnRecord(now);
-  Reader.heard(Records.takeNewGeneration(), now);
-  if (Reader.told())
-    Records.learnGeneration(Reader.told());
+  forwardPending();
+  shareUnreachableBackends(now);
+  updateRouteHistory(now);
+  Watcher.heard(Writer.takeNewGeneration(), now);
+  if (Watcher.told())
+    Writer.learnGeneration(Watcher.told());
   if (!Leaving) {
     callRegistry(now);
-    noteRegistry(now);
+    updateStaleness(now);
   }
-  if (Reader.started())
-    Records.run(mayWrite(), Spread.patience(), now);
-  remindOthers(now);
+  if (Watcher.started())
+    Writer.run(mayWriteShared(), Tree.patience(), now);
+  sendGossip(now);
 }
 
 Time RegistrySync::nextAt() const {
   Time out = std::min(Registry.deadline(), Pages.deadline());
-  if (Reader.started())
-    out = std::min(out, Records.nextAt(mayWrite(), Spread.patience()));
-  if (mayRemind())
-    out = std::min(out, Others.nextAt(Away));
+  if (Watcher.started())
+    out = std::min(out, Writer.nextAt(mayWriteShared(), Tree.patience()));
+  if (mayGossip())
+    out = std::min(out, Peers.nextAt(Stale));
   if (!Leaving && !Registry.busy())
-    out = std::min(out, Reader.nextAt());
+    out = std::min(out, Watcher.nextAt());
   return out;
 }
 
 void RegistrySync::callRegistry(Time now) {
   if (Registry.busy())
     return;
-  std::optional<NewsCall> call = Reader.next(now);
+  std::optional<NewsCall> call = Watcher.next(now);
   if (!call)
     return;
   CallKind kind = call->Call.Kind;
   Registry.call(std::move(call->Call), call->Timeout,
                 [this, kind](const HttpClient::Result &it) {
-                  noteStart(kind, it);
-                  takeAnswer(it);
+                  logStartupCall(kind, it);
+                  handleResponse(it);
                 });
 }
 
-/// Where the time of a start goes: one line for each call until all is known.
-void RegistrySync::noteStart(CallKind kind, const HttpClient::Result &result) {
-  if (Reader.complete() || !result)
+/// Logs the duration of each call until the first complete copy, so that the
+/// log explains the time of a start.
+void RegistrySync::logStartupCall(CallKind kind,
+                                  const HttpClient::Result &result) {
+  if (Watcher.complete() || !result)
     return;
   using std::chrono::duration_cast;
   using std::chrono::milliseconds;
   auto ms = [](Duration it) {
     return static_cast<int64_t>(duration_cast<milliseconds>(it).count());
   };
-  Lines.write(LogLine("start_call")
-                  .with("kind", callKindName(kind))
-                  .with("status", result->Status)
-                  .with("since_start_ms", ms(steadyNow() - StartedAt))
-                  .with("first_byte_ms", ms(result->TimeToFirstByte))
-                  .with("took_ms", ms(result->TotalTime))
-                  .with("bytes", static_cast<int64_t>(result->Body.size())));
+  Logger.write(LogLine("start_call")
+                   .with("kind", callKindName(kind))
+                   .with("status", result->Status)
+                   .with("since_start_ms", ms(steadyNow() - StartedAt))
+                   .with("first_byte_ms", ms(result->TimeToFirstByte))
+                   .with("took_ms", ms(result->TotalTime))
+                   .with("bytes", static_cast<int64_t>(result->Body.size())));
 }
 
 RegistryCallCounts RegistrySync::callCounts() const {
   RegistryCallCounts out = Registry.counts();
-  return out += Records.callCounts();
+  return out += Writer.callCounts();
 }
 
-/// Comes after the news was passed on: callers who wait for the first news
-/// must not wait for this as well.
-void RegistrySync::learnRecord(Time now) {
+/// Runs after the updates were passed to the packet thread: callers who wait
+/// for the first updates must not wait for this as well.
+void RegistrySync::updateRouteHistory(Time now) {
   if (!std::exchange(RoutesChanged, false))
     return;
-  Records.learnRoutes(Reader.mirror().routes(), Reader.routeRecords(), now);
+  Writer.learnRoutes(Watcher.mirror().routes(), Watcher.routeRecords(), now);
 }
 
-void RegistrySync::takeAnswer(const HttpClient::Result &result) {
+void RegistrySync::handleResponse(const HttpClient::Result &result) {
   Time now = steadyNow();
-  std::vector<token::Event> news;
-  Position before = Reader.mirror().position();
-  bool learned = Reader.answered(toRegistryAnswer(result, Dialect), now, news);
-  noteRestore(before, InstanceId{});
-  tell(std::move(news), InstanceId{}, now);
+  std::vector<token::Event> updates;
+  Position before = Watcher.mirror().position();
+  bool learned =
+      Watcher.answered(toRegistryAnswer(result, Dialect), now, updates);
+  logRestore(before, InstanceId{});
+  applyUpdates(std::move(updates), InstanceId{}, now);
   if (!result)
-    Lines.write(LogLine("registry_call_failed")
-                    .with("why", httpFailureName(result.error())));
+    Logger.write(LogLine("registry_call_failed")
+                     .with("why", httpFailureName(result.error())));
   else if (result->Status != HttpOk && result->Status != HttpNotFound)
-    Lines.write(LogLine("registry_call_failed").with("status", result->Status));
+    Logger.write(
+        LogLine("registry_call_failed").with("status", result->Status));
   if (!learned)
     return;
-  // What came before the first list is nobody's change.
-  if (PushedTo == Position{})
-    PushedTo = Reader.mirror().position();
+  // The first list is the starting point, not a change to push.
+  if (PushedPosition == Position{})
+    PushedPosition = Watcher.mirror().position();
   sendPush(true, now);
 }
 
-/// `copy_revision` above `revision`: what was read in between is lost in the
-/// registry. `held` items of it wait for being written again.
-void RegistrySync::noteRestore(const Position &before, InstanceId from) {
-  Position after = Reader.mirror().position();
+/// Logs a restore of the registry. If `copy_revision` is above `revision`, the
+/// registry has lost the changes in between; `held` of those items are retained
+/// here until they are written again.
+void RegistrySync::logRestore(const Position &before, InstanceId from) {
+  Position after = Watcher.mirror().position();
   if (before == Position{} || before.Generation == after.Generation)
     return;
-  Lines.write(
+  Logger.write(
       LogLine("registry_restored")
-          .with("from", senderName(from))
+          .with("from", sourceName(from))
           .with("generation", static_cast<int64_t>(after.Generation.Value))
           .with("former", static_cast<int64_t>(before.Generation.Value))
           .with("copy_revision", before.Revision)
           .with("revision", after.Revision)
-          .with("held", static_cast<int64_t>(Reader.mirror().heldCount())));
+          .with("held", static_cast<int64_t>(Watcher.mirror().heldCount())));
 }
 
-void RegistrySync::tell(std::vector<token::Event> news, InstanceId from,
-                        Time now) {
-  for (token::Event &it : news) {
+void RegistrySync::applyUpdates(std::vector<token::Event> updates,
+                                InstanceId from, Time now) {
+  for (token::Event &it : updates) {
     if (const auto *drain = std::get_if<token::ZoneDrainLearned>(&it))
-      noteDrain(*drain, from);
+      logZoneDrain(*drain, from);
     if (auto *servers = std::get_if<token::BackendsLearned>(&it))
       servers->ReadAt = unixMillisecondsNow();
     RoutesChanged = RoutesChanged ||
@@ -162,53 +168,53 @@
                     std::holds_alternative<token::PastRoutesLearned>(it);
     Pending.push_back(std::move(it));
   }
-  passNews();
-  Findings findings = Reader.takeFindings();
+  forwardPending();
+  Findings findings = Watcher.takeFindings();
   for (const Finding &it : findings.items())
-    Lines.write(LogLine("bad_item").with("finding", it.text()));
-  if (Reader.peers() != Others.known())
-    takePeers(now);
-  auto own = Others.known().find(InstanceId{Settings.Ip});
-  Records.learnOwnRecord(own == Others.known().end() ? nullptr : &own->second,
-                         Reader.currentAt());
-  Records.learnDirectory(Reader.directoryNote(), now);
-}
-
-/// From whom an order came shows whether the registry was asked or a neighbour
-/// passed it on; when it is in force follows as `zone_drained`.
-void RegistrySync::noteDrain(const token::ZoneDrainLearned &drain,
-                             InstanceId from) {
-  Lines.write(LogLine("zone_drain_learned")
-                  .with("zone", drain.Zone)
-                  .with("active", drain.Active ? 1 : 0)
-                  .with("revision", Reader.mirror().position().Revision)
-                  .with("from", senderName(from)));
-}
-
-void RegistrySync::takePeers(Time now) {
-  Others.learn(Reader.peers(), now);
+    Logger.write(LogLine("bad_item").with("finding", it.text()));
+  if (Watcher.peers() != Peers.known())
+    updatePeers(now);
+  auto own = Peers.known().find(InstanceId{Settings.Ip});
+  Writer.learnOwnRecord(own == Peers.known().end() ? nullptr : &own->second,
+                        Watcher.currentAt());
+  Writer.learnDirectory(Watcher.directoryNote(), now);
+}
+
+/// Logs a zone drain as it is learned. `from` is the registry or the instance
+/// that passed it on; `zone_drained` follows when the drain is in force.
+void RegistrySync::logZoneDrain(const token::ZoneDrainLearned &drain,
+                                InstanceId from) {
+  Logger.write(LogLine("zone_drain_learned")
+                   .with("zone", drain.Zone)
+                   .with("active", drain.Active ? 1 : 0)
+                   .with("revision", Watcher.mirror().position().Revision)
+                   .with("from", sourceName(from)));
+}
+
+void RegistrySync::updatePeers(Time now) {
+  Peers.learn(Watcher.peers(), now);
   token::InstancesLearned instances;
-  for (const auto &[id, peer] : Others.known())
+  for (const auto &[id, peer] : Peers.known())
     if (!peer.Leaving)
       instances.Instances.push_back({.Id = id, .Zone = peer.Zone});
   Pending.emplace_back(std::move(instances));
-  passNews();
-  Spread.learn(Others.placed(now));
-  Reader.setPatience(Spread.patience(), Spread.retryMost());
+  forwardPending();
+  Tree.learn(Peers.placed(now));
+  Watcher.setPatience(Tree.patience(), Tree.retryMost());
 }
 
-void RegistrySync::passNews() {
+void RegistrySync::forwardPending() {
   if (Pending.empty())
     return;
-  while (!Pending.empty() && Common.Updates.try_enqueue(Pending.front()))
+  while (!Pending.empty() && State.Updates.try_enqueue(Pending.front()))
     Pending.pop_front();
-  Common.PacketWakeup.wake();
+  State.PacketWakeup.wake();
 }
 
-void RegistrySync::readPushes() {
-  std::array<char, ReadBytes> buf;
+void RegistrySync::receiveMessages() {
+  std::array<char, ReceiveBufferBytes> buf;
   Time now = steadyNow();
-  for (int n = 0; n < ReadsAtOnce; ++n) {
+  for (int n = 0; n < MaxReadsPerEvent; ++n) {
     ssize_t size = ::recv(Socket.get(), buf.data(), buf.size(), MSG_DONTWAIT);
     if (size < 0)
       return;
@@ -216,73 +222,75 @@
     if (!message)
       ++Traffic.Malformed;
     else if (auto *push = std::get_if<NewsPush>(&*message))
-      takePush(*push, now);
-    else if (auto *doubt = std::get_if<Doubt>(&*message))
-      takeDoubt(*doubt, now);
+      handlePush(*push, now);
+    else if (auto *report = std::get_if<Doubt>(&*message))
+      handleUnreachableReport(*report, now);
     else
-      takeFragment(std::move(std::get<Fragment>(*message)), now);
+      handleFragment(std::move(std::get<Fragment>(*message)), now);
   }
 }
 
-void RegistrySync::takeFragment(Fragment fragment, Time now) {
+void RegistrySync::handleFragment(Fragment fragment, Time now) {
   std::optional<std::string> bytes = Fragments.take(std::move(fragment));
   if (!bytes)
     return;
   auto push = decodeFragments(*bytes);
   if (push)
-    takePush(*push, now);
+    handlePush(*push, now);
   else
     ++Traffic.Malformed;
 }
 
-/// A server that died is found by whoever had requests there. Told of it, the
-/// others find out before they lose requests of their own.
-void RegistrySync::shareDoubts(Time now) {
+/// Reports unreachable backend servers. The instances that have requests on a
+/// crashed server detect it first; with a report, the others check the server
+/// before they lose requests of their own.
+void RegistrySync::shareUnreachableBackends(Time now) {
   token::BackendId id;
-  while (Common.UnreachableBackends.try_dequeue(id))
-    if (Doubts.isNew(id, now))
-      sendDoubt(id, true);
+  while (State.UnreachableBackends.try_dequeue(id))
+    if (ReportFilter.isNew(id, now))
+      sendUnreachableReport(id, true);
 }
 
-void RegistrySync::takeDoubt(const Doubt &doubt, Time now) {
+void RegistrySync::handleUnreachableReport(const Doubt &report, Time now) {
   ++Traffic.UnreachableReports;
-  if (!Doubts.isNew(doubt.Backend, now))
+  if (!ReportFilter.isNew(report.Backend, now))
     return;
-  Pending.emplace_back(token::BackendDoubted{doubt.Backend});
-  passNews();
-  sendDoubt(doubt.Backend, false);
+  Pending.emplace_back(token::BackendDoubted{report.Backend});
+  forwardPending();
+  sendUnreachableReport(report.Backend, false);
 }
 
-void RegistrySync::sendDoubt(token::BackendId id, bool own) {
+void RegistrySync::sendUnreachableReport(token::BackendId id, bool own) {
   std::string bytes =
       encodeDoubt({.Sender = InstanceId{Settings.Ip}, .Backend = id});
-  for (Address it : Spread.targets(own))
+  for (Address it : Tree.targets(own))
     send(bytes, it);
 }
 
-void RegistrySync::takePush(const NewsPush &push, Time now) {
-  if (Reader.needsSeed(push))
-    return pullSeed(push.Sender);
-  Time before = Reader.currentAt();
-  std::vector<token::Event> news;
-  bool behind = Reader.takePush(push, now < LateUntil, now, news);
-  tell(std::move(news), push.Sender, now);
+void RegistrySync::handlePush(const NewsPush &push, Time now) {
+  if (Watcher.needsSeed(push))
+    return pullStartupCopy(push.Sender);
+  Time before = Watcher.currentAt();
+  std::vector<token::Event> updates;
+  bool behind = Watcher.takePush(push, now < StalePushesUntil, now, updates);
+  applyUpdates(std::move(updates), push.Sender, now);
   if (behind)
-    return pull(push.Sender, !Reader.complete());
-  // Half a pace newer than what was passed on last: worth a datagram to each.
-  bool newer = Reader.currentAt() - PushedAsOf >= Settings.Watcher.Pace / 2 ||
-               Reader.mirror().position() > PushedTo;
-  if (Reader.currentAt() > before && newer)
+    return pullUpdates(push.Sender, !Watcher.complete());
+  // Passes on only what is newer than the last push by half a poll interval or
+  // has further changes; less is not worth a datagram to each peer.
+  bool newer = Watcher.currentAt() - PushedAsOf >= Settings.Watcher.Pace / 2 ||
+               Watcher.mirror().position() > PushedPosition;
+  if (Watcher.currentAt() > before && newer)
     sendPush(false, now);
 }
 
-void RegistrySync::sendPush(bool asked, Time now) {
-  if (!Reader.mayPassOn())
+void RegistrySync::sendPush(bool fromRegistry, Time now) {
+  if (!Watcher.mayPassOn())
     return;
-  std::vector<Address> targets = Spread.targets(asked);
-  NewsPush push = Reader.push(InstanceId{Settings.Ip}, PushedTo, now);
-  PushedTo = Reader.mirror().position();
-  PushedAsOf = Reader.currentAt();
+  std::vector<Address> targets = Tree.targets(fromRegistry);
+  NewsPush push = Watcher.push(InstanceId{Settings.Ip}, PushedPosition, now);
+  PushedPosition = Watcher.mirror().position();
+  PushedAsOf = Watcher.currentAt();
   if (targets.empty())
     return;
   for (const std::string &bytes :
@@ -300,106 +308,109 @@
     Traffic.Bytes += static_cast<uint64_t>(n);
 }
 
-void RegistrySync::pull(InstanceId from, bool whole) {
+void RegistrySync::pullUpdates(InstanceId from, bool whole) {
   if (Pages.busy())
     return;
   std::optional<Position> since;
   if (!whole)
-    since = Reader.mirror().position();
+    since = Watcher.mirror().position();
   Pages.read(from, addressOf(from), since,
-             [this](const PageResult &page) { takePulled(page); });
+             [this](const PageResult &page) { handlePulledPage(page); });
 }
 
-/// All instances use one port, also where no record says so yet.
+/// Returns where to reach an instance. All instances use the same port, so an
+/// instance without a record is reachable too.
 Address RegistrySync::addressOf(InstanceId id) const {
-  auto it = Others.known().find(id);
-  return it == Others.known().end()
+  auto it = Peers.known().find(id);
+  return it == Peers.known().end()
              ? Address{.Ip = id.Value, .Port = Settings.Peers.Port}
              : it->second.Peers;
 }
 
-void RegistrySync::remindOthers(Time now) {
-  if (!mayRemind())
+void RegistrySync::sendGossip(Time now) {
+  if (!mayGossip())
     return;
-  std::vector<Address> targets = Others.due(Away, now);
-  std::vector<Address> former = Others.dueFormer(Away, now);
+  std::vector<Address> targets = Peers.due(Stale, now);
+  std::vector<Address> former = Peers.dueFormer(Stale, now);
   targets.insert(targets.end(), former.begin(), former.end());
   if (targets.empty())
     return;
-  // Whoever lacks something reads it from here.
+  // The push has no changes. A peer that is behind its position pulls from
+  // here.
   NewsPush push =
-      Reader.push(InstanceId{Settings.Ip}, Reader.mirror().position(), now);
+      Watcher.push(InstanceId{Settings.Ip}, Watcher.mirror().position(), now);
   std::string bytes = encodePush(push);
   for (Address it : targets)
     send(bytes, it);
 }
 
-bool RegistrySync::mayRemind() const {
-  return Settings.Core.Use.Reminders && Reader.knowsAll() && Reader.mayPassOn();
+bool RegistrySync::mayGossip() const {
+  return Settings.Core.Use.Reminders && Watcher.knowsAll() &&
+         Watcher.mayPassOn();
 }
 
-void RegistrySync::pullSeed(InstanceId from) {
+void RegistrySync::pullStartupCopy(InstanceId from) {
   if (Pages.busy())
     return;
   Pages.read(from, addressOf(from), std::nullopt,
-             [this](const PageResult &page) { takeSeed(page); });
+             [this](const PageResult &page) { handleStartupCopy(page); });
 }
 
-void RegistrySync::takeSeed(const PageResult &read) {
+void RegistrySync::handleStartupCopy(const PageResult &read) {
   LogLine line("news_from_peer");
   line.with("peer", formatIp(read.Peer.Value));
   if (!read.Page)
-    return Lines.write(line.with("why", read.Error));
-  std::vector<token::Event> news;
-  Reader.takeSeed(*read.Page, news);
-  Lines.write(line.with("revision", read.Page->At.Revision));
-  tell(std::move(news), read.Peer, steadyNow());
+    return Logger.write(line.with("why", read.Error));
+  std::vector<token::Event> updates;
+  Watcher.takeSeed(*read.Page, updates);
+  Logger.write(line.with("revision", read.Page->At.Revision));
+  applyUpdates(std::move(updates), read.Peer, steadyNow());
 }
 
-void RegistrySync::takePulled(const PageResult &read) {
+void RegistrySync::handlePulledPage(const PageResult &read) {
   if (read.HistoryTooShort && !read.Full)
-    return pull(read.Peer, true);
+    return pullUpdates(read.Peer, true);
   if (!read.Page) {
-    Reader.pullFailed();
-    return Lines.write(LogLine("news_pull_failed")
-                           .with("peer", formatIp(read.Peer.Value))
-                           .with("why", read.Error));
+    Watcher.pullFailed();
+    return Logger.write(LogLine("news_pull_failed")
+                            .with("peer", formatIp(read.Peer.Value))
+                            .with("why", read.Error));
   }
   Time now = steadyNow();
-  std::vector<token::Event> news;
-  Position before = Reader.mirror().position();
-  Reader.takePull(*read.Page, read.Full, now, news);
-  noteRestore(before, read.Peer);
-  tell(std::move(news), read.Peer, now);
+  std::vector<token::Event> updates;
+  Position before = Watcher.mirror().position();
+  Watcher.takePull(*read.Page, read.Full, now, updates);
+  logRestore(before, read.Peer);
+  applyUpdates(std::move(updates), read.Peer, now);
   sendPush(false, now);
 }
 
 void RegistrySync::handleSuspension(Time now) {
-  // Long enough to read what waits in the socket.
-  constexpr Duration Reading = std::chrono::milliseconds(100);
-  LateUntil = now + Reading;
-  Reader.doubtAll(now);
+  // Enough time to read the datagrams that wait in the socket.
+  constexpr Duration ReadTime = std::chrono::milliseconds(100);
+  StalePushesUntil = now + ReadTime;
+  Watcher.doubtAll(now);
 }
 
-void RegistrySync::noteRegistry(Time now) {
-  bool away = Reader.knowsAll() && Reader.away(now);
-  if (away == Away)
+void RegistrySync::updateStaleness(Time now) {
+  bool stale = Watcher.knowsAll() && Watcher.away(now);
+  if (stale == Stale)
     return;
-  Away = away;
-  Lines.write(LogLine(away ? "news_stale" : "news_current")
-                  .with("revision", Reader.mirror().position().Revision));
+  Stale = stale;
+  Logger.write(LogLine(stale ? "news_stale" : "news_current")
+                   .with("revision", Watcher.mirror().position().Revision));
 }
 
 void RegistrySync::updateBounds(const token::BoundsChanged &bounds) {
   Pending.emplace_back(bounds);
-  passNews();
+  forwardPending();
 }
 
 void RegistrySync::leave() {
   Leaving = true;
-  // Nothing else is asked of the registry any more, so this shows best whether
-  // it is away.
-  Records.leave([this] { Away = true; });
+  // This is the last call to the registry, so its failure is the latest sign
+  // that the registry does not answer.
+  Writer.leave([this] { Stale = true; });
 }
 
 } // namespace chicory::edge
--- a/lib/edge/RegistrySync.h
+++ b/lib/edge/RegistrySync.h
@@ -1,5 +1,6 @@
-// The control thread's work with news: asks the registry, keeps this
-// instance's record there, and exchanges news with other instances.
+// Keeps the registry cache of an instance current: reads the registry,
+// maintains this instance's record there, and exchanges registry updates with
+// other instances.
 
 #ifndef CHICORYBANK_LIB_EDGE_REGISTRYSYNC_H
 #define CHICORYBANK_LIB_EDGE_REGISTRYSYNC_H
@@ -20,7 +21,7 @@
 
 namespace chicory::edge {
 
-/// Counters of the messages between instances.
+/// Counters of the datagrams between instances.
 struct PeerMessageStats {
   uint64_t Messages = 0;
   uint64_t Bytes = 0;
@@ -28,97 +29,105 @@
   uint64_t UnreachableReports = 0;
 };
 
-/// Runs inside the control thread's loop.
+/// Runs in the control thread's event loop.
 class RegistrySync {
 public:
   RegistrySync(EventLoop &loop, Log &log, const EdgeSettings &settings,
                const RegistryDialect &dialect, FileDescriptor socket,
                SharedState &shared);
 
-  /// Starts the calls that are due and ends those whose time is over.
+  /// Starts the calls that are due and ends those whose timeout has passed.
   void run(Time now);
   Time nextAt() const;
-  /// Answers another instance that reads news.
+  /// Answers another instance that reads registry updates.
   HttpResponse answer(const std::string &target) {
     return Pages.answer(target);
   }
-  /// The process stood still: pushes that wait in the socket are old.
+  /// Handles a suspension of the process: pushes that wait in the socket are
+  /// stale.
   void handleSuspension(Time now);
-  /// Passes changed bounds on to the packet thread.
+  /// Passes changed bounds to the packet thread.
   void updateBounds(const token::BoundsChanged &bounds);
-  /// Takes this instance out of the others' order.
+  /// Marks this instance as leaving, so that others remove it from their order
+  /// of instances.
   void leave();
-  const NewsStats &stats() const { return Reader.stats(); }
-  const NewsReader &watcher() const { return Reader; }
-  /// Calls to the registry, of whatever kind.
+  const NewsStats &stats() const { return Watcher.stats(); }
+  const NewsReader &watcher() const { return Watcher; }
+  /// Returns the counts of all calls to the registry, by kind.
   RegistryCallCounts callCounts() const;
   const PeerMessageStats &peerStats() const { return Traffic; }
   const WriteStats &routeHistoryStats() const {
-    return Records.routeHistoryStats();
+    return Writer.routeHistoryStats();
   }
 
 private:
   void callRegistry(Time now);
-  void noteStart(CallKind kind, const HttpClient::Result &result);
-  void learnRecord(Time now);
-  void takeAnswer(const HttpClient::Result &result);
-  void noteRestore(const Position &before, InstanceId from);
-  void readPushes();
-  void takePush(const NewsPush &push, Time now);
-  void takeFragment(Fragment fragment, Time now);
-  void takeDoubt(const Doubt &doubt, Time now);
-  void shareDoubts(Time now);
-  void sendDoubt(token::BackendId id, bool own);
-  void pull(InstanceId from, bool whole);
+  void logStartupCall(CallKind kind, const HttpClient::Result &result);
+  void updateRouteHistory(Time now);
+  void handleResponse(const HttpClient::Result &result);
+  void logRestore(const Position &before, InstanceId from);
+  void receiveMessages();
+  void handlePush(const NewsPush &push, Time now);
+  void handleFragment(Fragment fragment, Time now);
+  void handleUnreachableReport(const Doubt &report, Time now);
+  void shareUnreachableBackends(Time now);
+  void sendUnreachableReport(token::BackendId id, bool own);
+  void pullUpdates(InstanceId from, bool whole);
   Address addressOf(InstanceId id) const;
-  void pullSeed(InstanceId from);
-  void takeSeed(const PageResult &read);
-  void remindOthers(Time now);
-  bool mayRemind() const;
-  /// What is missing here is missing in the registry, and calls to it are not
-  /// wasted.
-  bool mayWrite() const {
-    return Reader.complete() && !Away && Reader.settled();
+  void pullStartupCopy(InstanceId from);
+  void handleStartupCopy(const PageResult &read);
+  void sendGossip(Time now);
+  bool mayGossip() const;
+  /// Whether this instance may write shared items. Its cache is complete, so an
+  /// item that is missing here is missing in the registry, and the registry
+  /// answers, so calls are not wasted.
+  bool mayWriteShared() const {
+    return Watcher.complete() && !Stale && Watcher.settled();
   }
-  void takePeers(Time now);
-  void takePulled(const PageResult &read);
-  /// `asked`: this instance got the news from the registry.
-  void sendPush(bool asked, Time now);
+  void updatePeers(Time now);
+  void handlePulledPage(const PageResult &read);
+  /// `fromRegistry`: this instance read the updates from the registry.
+  void sendPush(bool fromRegistry, Time now);
   void send(const std::string &bytes, Address target);
-  /// Passes news on to the packet thread. `from`: the instance that told it;
-  /// none for the registry.
-  void tell(std::vector<token::Event> news, InstanceId from, Time now);
-  void noteDrain(const token::ZoneDrainLearned &drain, InstanceId from);
-  void passNews();
-  void noteRegistry(Time now);
+  /// Passes updates to the packet thread. `from`: the instance that sent them;
+  /// the default value for the registry.
+  void applyUpdates(std::vector<token::Event> updates, InstanceId from,
+                    Time now);
+  void logZoneDrain(const token::ZoneDrainLearned &drain, InstanceId from);
+  void forwardPending();
+  void updateStaleness(Time now);
 
-  Log &Lines;
+  Log &Logger;
   const EdgeSettings &Settings;
   const RegistryDialect &Dialect;
-  SharedState &Common;
+  SharedState &State;
   EventLoop &Events;
   FileDescriptor Socket;
-  NewsReader Reader;
-  NewsSpread Spread;
-  RegistryWriter Records;
+  NewsReader Watcher;
+  NewsSpread Tree;
+  RegistryWriter Writer;
   RegistryClient Registry;
   Time StartedAt = steadyNow();
   PeerPages Pages;
   std::deque<token::Event> Pending;
-  /// The registered instances, and those that may be back.
-  Reminders Others;
-  /// Where the last push led to.
-  Position PushedTo;
-  /// As of when the last push was current.
+  /// The registered instances, and former ones that may be back.
+  Reminders Peers;
+  /// The position up to which the last push had all changes.
+  Position PushedPosition;
+  /// The time as of which the last push was current.
   Time PushedAsOf;
-  Time LateUntil;
-  /// Routes or their record are newer than what the recorder has learned.
+  /// Until when received pushes may be from before a suspension.
+  Time StalePushesUntil;
+  /// Routes or their stored history have changed since the last
+  /// `updateRouteHistory`.
   bool RoutesChanged = false;
-  bool Away = false;
+  /// The registry counts as unavailable: the updates are stale, or the last
+  /// write failed.
+  bool Stale = false;
   bool Leaving = false;
   PeerMessageStats Traffic;
   FragmentAssembler Fragments;
-  DoubtLog Doubts;
+  DoubtLog ReportFilter;
   uint64_t MessagesSent = 0;
 };
 
--- a/lib/edge/RegistryWriter.cpp
+++ b/lib/edge/RegistryWriter.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A write that takes longer is given up and made again: some 400 times what the
-// registry takes as a rule.
+// A write that takes longer fails and is retried. The registry usually answers
+// in about a 400th of this time.
 constexpr Duration CallTimeout = std::chrono::milliseconds(1500);
 
 } // namespace
@@ -16,94 +16,95 @@
 RegistryWriter::RegistryWriter(EventLoop &loop, Log &log,
                                const EdgeSettings &settings,
                                const RegistryDialect &dialect,
-                               const Mirror &copy)
-    : Lines(log), Settings(settings), Record(dialect,
-                                             {.Id = InstanceId{settings.Ip},
-                                              .Zone = settings.Zone,
-                                              .Peers = settings.Peers},
-                                             {}),
-      Recorder(dialect), Copy(copy), Directory(dialect), Dialect(dialect),
-      Calls(loop, settings.Ip, settings.Registry, dialect) {}
+                               const Mirror &cache)
+    : Logger(log), Settings(settings), Registrar(dialect,
+                                                 {.Id = InstanceId{settings.Ip},
+                                                  .Zone = settings.Zone,
+                                                  .Peers = settings.Peers},
+                                                 {}),
+      HistoryWriter(dialect), Cache(cache), Directory(dialect),
+      Dialect(dialect), Client(loop, settings.Ip, settings.Registry, dialect) {}
 
 void RegistryWriter::run(bool mayWriteShared, Duration stalenessLimit,
                          Time now) {
-  Calls.expire(now);
-  if (Calls.busy())
+  Client.expire(now);
+  if (Client.busy())
     return;
   if (Leaving)
-    return sayThatItLeaves();
-  if (auto call = Record.next(now))
-    return announce(std::move(*call));
+    return writeLeaving();
+  if (auto call = Registrar.next(now))
+    return writeOwnRecord(std::move(*call));
   if (!mayWriteShared)
     return;
   if (Settings.Core.Use.RouteRecord)
-    if (auto call = Recorder.next(stalenessLimit, now))
-      return recordRoutes(std::move(*call));
-  if (auto call = Directory.next(Copy, stalenessLimit, now))
+    if (auto call = HistoryWriter.next(stalenessLimit, now))
+      return writeRouteHistory(std::move(*call));
+  if (auto call = Directory.next(Cache, stalenessLimit, now))
     writeDirectory(std::move(*call));
 }
 
 Time RegistryWriter::nextAt(bool mayWriteShared,
                             Duration stalenessLimit) const {
-  if (Calls.busy())
-    return Calls.deadline();
+  if (Client.busy())
+    return Client.deadline();
   if (Leaving)
     return LeaveFailed ? Time{} : Time::max();
-  Time out = Record.nextAt();
+  Time out = Registrar.nextAt();
   if (!mayWriteShared)
     return out;
   if (Settings.Core.Use.RouteRecord)
-    out = std::min(out, Recorder.nextAt(stalenessLimit));
+    out = std::min(out, HistoryWriter.nextAt(stalenessLimit));
   return std::min(out, Directory.nextAt(stalenessLimit));
 }
 
-void RegistryWriter::announce(RegistryCall call) {
-  Calls.call(std::move(call), CallTimeout,
-             [this](const HttpClient::Result &it) {
-               NewsAnswer answer = toRegistryAnswer(it, Dialect);
-               Record.answered(answer, steadyNow());
-               noteGeneration(answer);
-             });
+void RegistryWriter::writeOwnRecord(RegistryCall call) {
+  Client.call(std::move(call), CallTimeout,
+              [this](const HttpClient::Result &it) {
+                NewsAnswer answer = toRegistryAnswer(it, Dialect);
+                Registrar.answered(answer, steadyNow());
+                updateGeneration(answer);
+              });
 }
 
-void RegistryWriter::recordRoutes(RegistryCall call) {
-  Calls.call(
+void RegistryWriter::writeRouteHistory(RegistryCall call) {
+  Client.call(
       std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
         NewsAnswer answer = toRegistryAnswer(it, Dialect);
-        Recorder.answered(answer, steadyNow());
-        noteGeneration(answer);
-        Lines.write(LogLine("routes_recorded").with("status", answer.Status));
+        HistoryWriter.answered(answer, steadyNow());
+        updateGeneration(answer);
+        Logger.write(LogLine("routes_recorded").with("status", answer.Status));
       });
 }
 
 void RegistryWriter::writeDirectory(RegistryCall call) {
-  Calls.call(
-      std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
-        NewsAnswer answer = toRegistryAnswer(it, Dialect);
-        Directory.answered(answer, steadyNow());
-        noteGeneration(answer);
-        Lines.write(LogLine("directory_written").with("status", answer.Status));
-      });
+  Client.call(std::move(call), CallTimeout,
+              [this](const HttpClient::Result &it) {
+                NewsAnswer answer = toRegistryAnswer(it, Dialect);
+                Directory.answered(answer, steadyNow());
+                updateGeneration(answer);
+                Logger.write(
+                    LogLine("directory_written").with("status", answer.Status));
+              });
 }
 
 void RegistryWriter::learnRoutes(const token::RouteSet *routes,
                                  const RouteRecords &stored, Time now) {
   if (routes)
-    Recorder.learn(*routes, now);
-  Recorder.learn(stored, Settings.Core.MaxFlowAge, now);
+    HistoryWriter.learn(*routes, now);
+  HistoryWriter.learn(stored, Settings.Core.MaxFlowAge, now);
 }
 
-void RegistryWriter::noteGeneration(const NewsAnswer &answer) {
-  if (answer.Generation <= Known)
+void RegistryWriter::updateGeneration(const NewsAnswer &answer) {
+  if (answer.Generation <= KnownGeneration)
     return;
-  Told = answer.Generation;
+  NewGeneration = answer.Generation;
   learnGeneration(answer.Generation);
 }
 
 void RegistryWriter::learnGeneration(std::optional<Generation> generation) {
-  if (Known && Known != generation)
-    Record.registryRestored();
-  Known = generation;
+  if (KnownGeneration && KnownGeneration != generation)
+    Registrar.registryRestored();
+  KnownGeneration = generation;
 }
 
 void RegistryWriter::leave(std::function<void()> failed) {
@@ -111,18 +112,18 @@
   LeaveFailed = std::move(failed);
 }
 
-void RegistryWriter::sayThatItLeaves() {
+void RegistryWriter::writeLeaving() {
   if (!LeaveFailed)
     return;
   auto failed = std::exchange(LeaveFailed, nullptr);
-  std::optional<RegistryCall> call = Record.end();
+  std::optional<RegistryCall> call = Registrar.end();
   if (!call)
     return;
-  Calls.call(std::move(*call), CallTimeout,
-             [failed](const HttpClient::Result &it) {
-               if (!it)
-                 failed();
-             });
+  Client.call(std::move(*call), CallTimeout,
+              [failed](const HttpClient::Result &it) {
+                if (!it)
+                  failed();
+              });
 }
 
 } // namespace chicory::edge
--- a/lib/edge/RegistryWriter.h
+++ b/lib/edge/RegistryWriter.h
@@ -1,6 +1,6 @@
 // The control thread's writes to the registry: this instance's own record, and
-// its share in the record of routes and in the directory. One call is under way
-// at a time.
+// its share of the writes of the route history and the directory. One call is
+// in progress at a time.
 
 #ifndef CHICORYBANK_LIB_EDGE_REGISTRYWRITER_H
 #define CHICORYBANK_LIB_EDGE_REGISTRYWRITER_H
@@ -17,61 +17,62 @@
 
 namespace chicory::edge {
 
-/// Runs inside the control thread's loop.
+/// Runs in the control thread's event loop.
 class RegistryWriter {
 public:
   RegistryWriter(EventLoop &loop, Log &log, const EdgeSettings &settings,
-                 const RegistryDialect &dialect, const Mirror &copy);
+                 const RegistryDialect &dialect, const Mirror &cache);
 
-  /// Ends a call whose time is over, and starts one that is due. Serving comes
-  /// first: call it only once packets can be carried. `current`: everything was
-  /// read, and the registry answers, so this instance may write for all;
-  /// `patience`: of this instance with news.
+  /// Ends the call if its timeout has passed, and starts the next one that is
+  /// due. Serving has priority: call it only once packets can be forwarded.
+  /// `mayWriteShared`: this instance has read everything and the registry
+  /// answers, so it may write shared items. `stalenessLimit`: how old this
+  /// instance's updates may become before it asks the registry itself.
   void run(bool mayWriteShared, Duration stalenessLimit, Time now);
-  /// When `run` may have something to do.
+  /// Returns when `run` may have something to do.
   Time nextAt(bool mayWriteShared, Duration stalenessLimit) const;
 
-  /// The routes and their record as they were read last.
+  /// Takes the routes and their stored history as last read.
   void learnRoutes(const token::RouteSet *routes, const RouteRecords &stored,
                    Time now);
-  /// The copy of the registry, as of some time, has this record of this
-  /// instance, or none.
+  /// Takes this instance's record in the registry cache, or null if it is
+  /// absent. `asOf`: the time as of which the cache is current.
   void learnOwnRecord(const PeerRecord *own, Time asOf) {
-    Record.seen(own, asOf);
+    Registrar.seen(own, asOf);
   }
   void learnDirectory(const DirectoryNote &stored, Time now) {
-    Directory.learn(Copy, stored, now);
+    Directory.learn(Cache, stored, now);
   }
-  /// The record is to say that this instance leaves; nothing follows that.
-  /// `failed` is called where the registry did not answer it.
+  /// Marks this instance as leaving in its record, which is the last write.
+  /// Calls `failed` if the registry does not answer.
   void leave(std::function<void()> failed);
-  /// The registry is in this generation, as its news tells.
+  /// Takes the registry's generation, as read with updates.
   void learnGeneration(std::optional<Generation> generation);
-  /// A later generation that an answer to a call of this duty has told, once.
+  /// Returns a newer generation that a response to a write had, only once.
   std::optional<Generation> takeNewGeneration() {
-    return std::exchange(Told, {});
+    return std::exchange(NewGeneration, {});
   }
-  const RegistryCallCounts &callCounts() const { return Calls.counts(); }
-  const WriteStats &routeHistoryStats() const { return Recorder.stats(); }
+  const RegistryCallCounts &callCounts() const { return Client.counts(); }
+  const WriteStats &routeHistoryStats() const { return HistoryWriter.stats(); }
 
 private:
-  void announce(RegistryCall call);
-  void recordRoutes(RegistryCall call);
+  void writeOwnRecord(RegistryCall call);
+  void writeRouteHistory(RegistryCall call);
   void writeDirectory(RegistryCall call);
-  void sayThatItLeaves();
-  void noteGeneration(const NewsAnswer &answer);
+  void writeLeaving();
+  void updateGeneration(const NewsAnswer &answer);
 
-  Log &Lines;
+  Log &Logger;
   const EdgeSettings &Settings;
-  Announcer Record;
-  RouteRecorder Recorder;
-  const Mirror &Copy;
+  Announcer Registrar;
+  RouteRecorder HistoryWriter;
+  const Mirror &Cache;
   DirectoryWriter Directory;
   const RegistryDialect &Dialect;
-  std::optional<Generation> Known;
-  std::optional<Generation> Told;
-  RegistryClient Calls;
-  /// Set once the instance leaves, until that is told.
+  std::optional<Generation> KnownGeneration;
+  std::optional<Generation> NewGeneration;
+  RegistryClient Client;
+  /// Set from `leave` until the last write starts.
   std::function<void()> LeaveFailed;
   bool Leaving = false;
 };
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -9,20 +9,21 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration LongTime = 24h;
-// Of the grace time, so much is left for ending the process itself.
+constexpr Duration MaxDuration = 24h;
+// The part of the grace time that is reserved for the exit of the process.
 constexpr Duration GraceReserve = 1s;
-// The longest patience is three and a half paces (`NewsSpread.cpp`); the rest
-// is for the call and for passing the news on.
-constexpr int PacesInApply = 6;
-constexpr Duration PaceLeast = 100ms;
-// News is a pace old when all is well. Registrations may lapse as soon as the
-// registry is away, so a little more than that is a gap already; one that is
-// none only makes the end of a server known later.
-constexpr double PacesInGap = 1.4;
-constexpr Duration PaceMost = 1s;
-
-/// Reads one table, or an empty one where it is absent.
+// The maximum staleness limit is three and a half poll intervals
+// (`PropagationTree.cpp`); the rest is for the call and for propagation.
+constexpr int PollsPerApply = 6;
+constexpr Duration PollIntervalMin = 100ms;
+// In normal operation, updates are up to one poll interval old. Registrations
+// may expire as soon as the registry does not answer, so a slightly higher age
+// already counts as a gap. A false gap only delays the detection that a server
+// has ended.
+constexpr double PollsInGap = 1.4;
+constexpr Duration PollIntervalMax = 1s;
+
+/// Reads one table, or an empty one if it is absent.
 class Section {
 public:
   Section(TomlReader &parent, std::string_view key, const std::string &file,
@@ -43,16 +44,16 @@
 };
 
 template <typename T>
-void compare(const char *key, const T &inUse, const T &fresh,
-             std::vector<std::string> &changed) {
+void noteChange(const char *key, const T &inUse, const T &fresh,
+                std::vector<std::string> &changed) {
   if (!(inUse == fresh))
     changed.emplace_back(key);
 }
 
 template <typename T>
-void takeOver(const char *key, T &inUse, const T &fresh,
-              std::vector<std::string> &changed) {
-  compare(key, inUse, fresh, changed);
+void applyChange(const char *key, T &inUse, const T &fresh,
+                 std::vector<std::string> &changed) {
+  noteChange(key, inUse, fresh, changed);
   inUse = fresh;
 }
 
@@ -60,19 +61,20 @@
 
 SettingsChange applyChanges(EdgeSettings &inUse, const EdgeSettings &fresh) {
   SettingsChange out;
-  compare("instance.name", inUse.Name, fresh.Name, out.AfterRestart);
-  compare("instance.zone", inUse.Zone, fresh.Zone, out.AfterRestart);
-  compare("instance.ip", inUse.Ip, fresh.Ip, out.AfterRestart);
-  compare("listen.packets", inUse.Packets, fresh.Packets, out.AfterRestart);
-  compare("listen.ready", inUse.Ready, fresh.Ready, out.AfterRestart);
-  compare("listen.peer_port", inUse.Peers, fresh.Peers, out.AfterRestart);
-  compare("registry.address", inUse.Registry, fresh.Registry, out.AfterRestart);
-  takeOver("times.apply_within", inUse.Core.ApplyWithin, fresh.Core.ApplyWithin,
-           out.Applied);
-  takeOver("times.max_flow_age", inUse.Core.MaxFlowAge, fresh.Core.MaxFlowAge,
-           out.Applied);
-  takeOver("times.grace", inUse.Grace, fresh.Grace, out.Applied);
-  compare("mechanisms", inUse.Core.Use, fresh.Core.Use, out.AfterRestart);
+  noteChange("instance.name", inUse.Name, fresh.Name, out.AfterRestart);
+  noteChange("instance.zone", inUse.Zone, fresh.Zone, out.AfterRestart);
+  noteChange("instance.ip", inUse.Ip, fresh.Ip, out.AfterRestart);
+  noteChange("listen.packets", inUse.Packets, fresh.Packets, out.AfterRestart);
+  noteChange("listen.ready", inUse.Ready, fresh.Ready, out.AfterRestart);
+  noteChange("listen.peer_port", inUse.Peers, fresh.Peers, out.AfterRestart);
+  noteChange("registry.address", inUse.Registry, fresh.Registry,
+             out.AfterRestart);
+  applyChange("times.apply_within", inUse.Core.ApplyWithin,
+              fresh.Core.ApplyWithin, out.Applied);
+  applyChange("times.max_flow_age", inUse.Core.MaxFlowAge,
+              fresh.Core.MaxFlowAge, out.Applied);
+  applyChange("times.grace", inUse.Grace, fresh.Grace, out.Applied);
+  noteChange("mechanisms", inUse.Core.Use, fresh.Core.Use, out.AfterRestart);
   inUse.StopDelay = fresh.StopDelay;
   return out;
 }
@@ -101,7 +103,7 @@
     if (auto parsed = parseIp(ip))
       out.Ip = *parsed;
     else if (!ip.empty())
-      instance->fault("ip", "\"" + ip + "\" is no IP");
+      instance->fault("ip", "\"" + ip + "\" is not an IP address");
 
     Section listen(top, "listen", file, findings);
     out.Packets = listen->address("packets", true);
@@ -114,11 +116,11 @@
     out.Registry = registry->address("address", true);
 
     Section times(top, "times", file, findings);
-    out.Core.ApplyWithin =
-        times->duration("apply_within", out.Core.ApplyWithin, 100ms, LongTime);
+    out.Core.ApplyWithin = times->duration("apply_within", out.Core.ApplyWithin,
+                                           100ms, MaxDuration);
     out.Core.MaxFlowAge =
-        times->duration("max_flow_age", out.Core.MaxFlowAge, 1s, LongTime);
-    out.Grace = times->duration("grace", out.Grace, 100ms, LongTime);
+        times->duration("max_flow_age", out.Core.MaxFlowAge, 1s, MaxDuration);
+    out.Grace = times->duration("grace", out.Grace, 100ms, MaxDuration);
 
     Section mechanisms(top, "mechanisms", file, findings);
     for (const token::MechanismName &it : token::MechanismNames)
@@ -129,10 +131,10 @@
   out.Core.Self = InstanceId{out.Ip};
   out.Core.Seed = hashBytes(out.Name);
   out.Core.Servers.RememberGone = out.Core.MaxFlowAge;
-  out.Watcher.Pace = std::clamp<Duration>(out.Core.ApplyWithin / PacesInApply,
-                                          PaceLeast, PaceMost);
+  out.Watcher.Pace = std::clamp<Duration>(out.Core.ApplyWithin / PollsPerApply,
+                                          PollIntervalMin, PollIntervalMax);
   out.Core.NewsGap =
-      std::chrono::duration_cast<Duration>(out.Watcher.Pace * PacesInGap);
+      std::chrono::duration_cast<Duration>(out.Watcher.Pace * PollsInGap);
   if (out.Grace > 2 * GraceReserve)
     out.StopDelay = std::min(out.StopDelay, out.Grace - GraceReserve);
   else
--- a/lib/edge/SettingsFile.cpp
+++ b/lib/edge/SettingsFile.cpp
@@ -5,22 +5,22 @@
 
 namespace chicory::edge {
 
-SettingsFile::State SettingsFile::state() const {
+SettingsFile::FileState SettingsFile::currentState() const {
   struct stat info {};
   if (::stat(Path.c_str(), &info) != 0)
     return {};
-  return {.File = info.st_ino,
+  return {.Inode = info.st_ino,
           .Size = info.st_size,
           .Seconds = info.st_mtim.tv_sec,
           .Nanoseconds = info.st_mtim.tv_nsec};
 }
 
 bool SettingsFile::changed() {
-  State now = state();
-  // A file that is being replaced is looked at again once it is there.
-  if (now == Last || now == State{})
+  FileState now = currentState();
+  // A missing file is being replaced; the next check sees the new one.
+  if (now == LastState || now == FileState{})
     return false;
-  Last = now;
+  LastState = now;
   return true;
 }
 
--- a/lib/edge/SettingsFile.h
+++ b/lib/edge/SettingsFile.h
@@ -1,4 +1,4 @@
-// The settings file of a running instance: notices changes and reads them.
+// Detects changes of the settings file of a running instance, and reads it.
 
 #ifndef CHICORYBANK_LIB_EDGE_SETTINGSFILE_H
 #define CHICORYBANK_LIB_EDGE_SETTINGSFILE_H
@@ -9,31 +9,31 @@
 
 namespace chicory::edge {
 
-/// Looks at one file. Files may change without a signal, and a signal may come
-/// without a change.
+/// Watches one file by its state. It does not depend on SIGHUP: files may
+/// change without a signal, and a signal may arrive without a change.
 class SettingsFile {
 public:
   explicit SettingsFile(std::string path) : Path(std::move(path)) {
-    Last = state();
+    LastState = currentState();
   }
 
-  /// True once after each change of the file.
+  /// Returns true once after each change of the file.
   bool changed();
-  /// Reads it; findings say what is wrong.
+  /// Reads the file. Adds every error in it to `findings`.
   std::optional<EdgeSettings> read(Findings &findings) const;
 
 private:
-  struct State {
-    ino_t File = 0;
+  struct FileState {
+    ino_t Inode = 0;
     off_t Size = 0;
     int64_t Seconds = 0;
     int64_t Nanoseconds = 0;
-    bool operator==(const State &) const = default;
+    bool operator==(const FileState &) const = default;
   };
-  State state() const;
+  FileState currentState() const;
 
   std::string Path;
-  State Last;
+  FileState LastState;
 };
 
 } // namespace chicory::edge
--- a/lib/edge/SharedState.h
+++ b/lib/edge/SharedState.h
@@ -1,8 +1,8 @@
-// What the two threads of an edge instance share.
+// The state that the two threads of an edge instance share.
 //
 // The packet thread decides and forwards; the control thread talks to the
-// registry, answers probes and writes logs. Rings join them: a full one never
-// makes the packet thread wait.
+// registry, answers probes and writes the log. Ring buffers connect them; a
+// full one never blocks the packet thread.
 
 #ifndef CHICORYBANK_LIB_EDGE_SHAREDSTATE_H
 #define CHICORYBANK_LIB_EDGE_SHAREDSTATE_H
@@ -18,7 +18,7 @@
 
 namespace chicory::edge {
 
-/// Figures of the packet thread, copied now and then.
+/// Statistics of the packet thread, which publishes a copy periodically.
 struct EdgeStats {
   token::CoreStats Core;
   token::Histogram BatchTime;
@@ -34,22 +34,23 @@
   double UpdateAgeSeconds = 0;
 };
 
-/// Rings, flags and figures between the threads.
+/// Ring buffers, flags and statistics between the threads.
 struct SharedState {
-  /// From the control thread: what the registry says.
+  /// From the control thread: registry updates.
   moodycamel::ReaderWriterQueue<token::Event> Updates{128};
   Wakeup PacketWakeup;
-  /// From the packet thread: decisions to be logged.
+  /// From the packet thread: decisions to log.
   moodycamel::ReaderWriterQueue<token::Decision> Decisions{512};
-  /// From the packet thread: servers that can't be reached, for the others.
+  /// From the packet thread: unreachable backend servers, to be reported to
+  /// other instances.
   moodycamel::ReaderWriterQueue<token::BackendId> UnreachableBackends{64};
   Wakeup ControlWakeup;
 
-  /// Routes and backend servers are known.
+  /// Routes and backend servers are known, so readiness probes succeed.
   std::atomic<bool> ReadyToServe = false;
   std::atomic<bool> Stopped = false;
 
-  /// The packet thread's figures, as of its last `publish`.
+  /// Returns the packet thread's statistics as of its last `publish`.
   EdgeStats stats() {
     std::lock_guard lock(StatsLock);
     return Stats;
--- a/lib/edge/SuspensionDetector.h
+++ b/lib/edge/SuspensionDetector.h
@@ -1,4 +1,4 @@
-// Notices that a thread which turns regularly has stood still.
+// Detects that the process or its machine was suspended.
 
 #ifndef CHICORYBANK_LIB_EDGE_SUSPENSIONDETECTOR_H
 #define CHICORYBANK_LIB_EDGE_SUSPENSIONDETECTOR_H
@@ -7,22 +7,22 @@
 
 namespace chicory::edge {
 
-/// Compares the time between two turns of a loop with the longest that the loop
-/// ever waits. Times are of the boot clock, which counts suspensions.
+/// Compares the time between two turns of a loop with the maximum time that a
+/// turn may take. Takes times of the boot clock, which runs during suspensions.
 class SuspensionDetector {
 public:
-  explicit SuspensionDetector(Duration longestTurn)
-      : LongestTurn(longestTurn) {}
+  explicit SuspensionDetector(Duration maxTurn) : MaxTurn(maxTurn) {}
 
   void recordTurn(Time now) { LastTurn = now; }
-  /// The thread has not turned for longer than it ever waits: it was stopped,
-  /// or its machine was, and what it finds in its sockets may be old.
+  /// Returns whether the last turn was longer ago than a running thread allows.
+  /// The process or its machine was suspended then, and data that waits in the
+  /// sockets may be stale.
   bool wasSuspended(Time now) const {
-    return LastTurn != Time{} && now - LastTurn > LongestTurn;
+    return LastTurn != Time{} && now - LastTurn > MaxTurn;
   }
 
 private:
-  Duration LongestTurn;
+  Duration MaxTurn;
   Time LastTurn;
 };
 
--- a/tests/BackendProberTest.cpp
+++ b/tests/BackendProberTest.cpp
@@ -1,4 +1,4 @@
-// Probes over real sockets on loopback.
+// Tests backend probes over TCP on loopback.
 
 #include "edge/BackendProber.h"
 
@@ -17,10 +17,10 @@
 
 constexpr uint32_t Loopback = 0x7f000001;
 
-Address someAddress() { return {.Ip = Loopback, .Port = 0}; }
+Address loopbackAddress() { return {.Ip = Loopback, .Port = 0}; }
 
-/// Runs the loop until one probe has ended, for two seconds at most.
-token::ProbeEnded endOf(EventLoop &loop, BackendProber &probes) {
+/// Runs the loop until one probe has ended, for at most two seconds.
+token::ProbeEnded waitForEnd(EventLoop &loop, BackendProber &probes) {
   Time until = steadyNow() + 2s;
   while (steadyNow() < until) {
     loop.wait(5ms);
@@ -36,53 +36,55 @@
 class BackendProberTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BackendProberTest);
   CPPUNIT_TEST(reachesAListener);
-  CPPUNIT_TEST(isRefusedWhereNobodyListens);
-  CPPUNIT_TEST(failsWithoutAnAnswerInTime);
-  CPPUNIT_TEST(countsAnAnswerThatCameBeforeItsLimit);
-  CPPUNIT_TEST(triesNoMoreThanItHasDescriptorsFor);
+  CPPUNIT_TEST(reportsRefusalWithoutAListener);
+  CPPUNIT_TEST(failsAfterTheTimeout);
+  CPPUNIT_TEST(countsAnAnswerBeforeTheTimeout);
+  CPPUNIT_TEST(limitsConcurrentProbes);
   CPPUNIT_TEST_SUITE_END();
 
   void reachesAListener() {
-    auto listener = listenTcp(someAddress());
+    auto listener = listenTcp(loopbackAddress());
     EventLoop loop;
     BackendProber probes(loop, Loopback);
     probes.start(
         {.Id = BackendId{4}, .Where = boundAddress(*listener), .Timeout = 1s},
         steadyNow());
-    token::ProbeEnded ended = endOf(loop, probes);
+    token::ProbeEnded ended = waitForEnd(loop, probes);
     expectEqual<uint64_t>(4, ended.Id.Value);
     expectTrue(ended.Outcome == ProbeOutcome::Reached, "reached");
-    expectTrue(probes.nextAt() == Time::max(), "nothing is left");
+    expectTrue(probes.nextAt() == Time::max(), "no probe is left");
   }
 
-  void isRefusedWhereNobodyListens() {
-    Address nobody = boundAddress(*listenTcp(someAddress()));
+  void reportsRefusalWithoutAListener() {
+    Address unusedAddress = boundAddress(*listenTcp(loopbackAddress()));
     EventLoop loop;
     BackendProber probes(loop, Loopback);
-    probes.start({.Id = BackendId{4}, .Where = nobody, .Timeout = 1s},
+    probes.start({.Id = BackendId{4}, .Where = unusedAddress, .Timeout = 1s},
                  steadyNow());
-    expectTrue(endOf(loop, probes).Outcome == ProbeOutcome::Refused, "refused");
+    expectTrue(waitForEnd(loop, probes).Outcome == ProbeOutcome::Refused,
+               "refused");
   }
 
-  void failsWithoutAnAnswerInTime() {
+  void failsAfterTheTimeout() {
     EventLoop loop;
     BackendProber probes(loop, Loopback);
-    auto listener = listenTcp(someAddress());
+    auto listener = listenTcp(loopbackAddress());
     ::listen(listener->get(), 0);
     Address full = boundAddress(*listener);
-    // One waits to be accepted; the openings of all others are dropped.
+    // The backlog holds one connection; the kernel drops all further SYNs.
     auto first = connectTcp(Loopback, full);
     auto second = connectTcp(Loopback, full);
     probes.start({.Id = BackendId{4}, .Where = full, .Timeout = 50ms},
                  steadyNow());
-    expectTrue(endOf(loop, probes).Outcome == ProbeOutcome::Failed, "failed");
+    expectTrue(waitForEnd(loop, probes).Outcome == ProbeOutcome::Failed,
+               "failed");
   }
 
-  // Symptom: a server that answered at once counts as unreachable.
-  // Sequence: the thread gets no turn until after the time limit.
-  // Cause: time limits looked at before the sockets.
-  void countsAnAnswerThatCameBeforeItsLimit() {
-    auto listener = listenTcp(someAddress());
+  // Guards against a server that answered at once and counts as unreachable.
+  // The thread does not run until after the timeout, and then checks the
+  // timeouts before the sockets.
+  void countsAnAnswerBeforeTheTimeout() {
+    auto listener = listenTcp(loopbackAddress());
     EventLoop loop;
     BackendProber probes(loop, Loopback);
     Time now = steadyNow();
@@ -94,8 +96,8 @@
     expectTrue(ended[0].Outcome == ProbeOutcome::Reached, "reached");
   }
 
-  void triesNoMoreThanItHasDescriptorsFor() {
-    auto listener = listenTcp(someAddress());
+  void limitsConcurrentProbes() {
+    auto listener = listenTcp(loopbackAddress());
     EventLoop loop;
     BackendProber probes(loop, Loopback);
     for (uint64_t id = 1; id <= BackendProber::MaxProbes + 1; ++id)
--- a/tests/EdgeSettingsTest.cpp
+++ b/tests/EdgeSettingsTest.cpp
@@ -38,7 +38,7 @@
   return out.replace(out.find(from), from.size(), to);
 }
 
-/// Puts a value in place of each placeholder.
+/// Replaces each occurrence of a placeholder with a value.
 void fillIn(std::string &text, const std::string &placeholder,
             const std::string &value) {
   for (size_t at = text.find(placeholder); at != std::string::npos;
@@ -48,7 +48,7 @@
 
 std::string findingsOf(const std::string &text) {
   Findings findings;
-  expectTrue(!read(text, findings), "it is refused");
+  expectTrue(!read(text, findings), "the settings are refused");
   return findings.text();
 }
 
@@ -58,16 +58,16 @@
   CPPUNIT_TEST_SUITE(EdgeSettingsTest);
   CPPUNIT_TEST(readsAFile);
   CPPUNIT_TEST(reportsEveryFinding);
-  CPPUNIT_TEST(keepsItsTimesWithinTheDeploymentsBounds);
-  CPPUNIT_TEST(readsTheTemplateOnceFilledIn);
-  CPPUNIT_TEST(takesOverWhatARunningInstanceCan);
-  CPPUNIT_TEST(switchesMechanismsOff);
+  CPPUNIT_TEST(derivesTimesFromTheDeploymentsBounds);
+  CPPUNIT_TEST(readsTheFilledInTemplate);
+  CPPUNIT_TEST(appliesChangesThatNeedNoRestart);
+  CPPUNIT_TEST(disablesMechanisms);
   CPPUNIT_TEST(refusesCharactersBetweenValues);
   CPPUNIT_TEST_SUITE_END();
 
-  // Symptom: a program ends while it reads its settings, or reads them wrong.
-  // Sequence: a no-break space was pasted before a value.
-  // Cause: the TOML library is undefined for some characters there.
+  // Guards against a crash or wrong values when a no-break space was pasted
+  // before a value: the TOML library has undefined behaviour for some
+  // characters there.
   void refusesCharactersBetweenValues() {
     std::string space = replaced("peer_port = 7720", "peer_port =\u00a07720");
     expectEqual<std::string>("edge.toml:8:12: only strings and comments may "
@@ -81,17 +81,18 @@
     expectEqual<std::string>("Šiška \" – é", named->Zone);
   }
 
-  void switchesMechanismsOff() {
+  void disablesMechanisms() {
     Findings findings;
-    expectTrue(disabledMechanisms(*read(Good, findings)).empty(), "all are on");
+    expectTrue(disabledMechanisms(*read(Good, findings)).empty(),
+               "all mechanisms are enabled");
     auto without = read(Good + "[mechanisms]\nprobes = false\n"
                                "suspicion = true\n",
                         findings);
     expectTrue(disabledMechanisms(*without) ==
                    std::vector<std::string>{"probes"},
-               "this one alone");
+               "only this mechanism is disabled");
     expectTrue(!without->Core.Use.Probes && without->Core.Use.Suspicion,
-               "as the core has it");
+               "the core's options agree");
     std::string text =
         findingsOf(Good + "[mechanisms]\nprobing = false\nprobes = 1\n");
     expectTrue(text.find("probing") != std::string::npos, text);
@@ -105,7 +106,7 @@
     expectEqual<std::string>("gikondo", settings->Core.Zone);
     expectEqual<uint16_t>(7720, settings->Peers.Port);
     expectTrue(settings->Watcher.Pace == 500ms, "a sixth of the time to apply");
-    expectTrue(settings->StopDelay == 2500ms, "the routers turn away first");
+    expectTrue(settings->StopDelay == 2500ms, "the routers stop sending first");
   }
 
   void reportsEveryFinding() {
@@ -114,41 +115,44 @@
     expectTrue(text.find("edge.toml:6") != std::string::npos, text);
     expectTrue(text.find("packets") != std::string::npos, text);
     expectTrue(text.find("gracee") != std::string::npos, text);
-    expectTrue(!findingsOf("").empty(), "an empty file lacks everything");
-    expectTrue(!findingsOf("[").empty(), "no TOML");
+    expectTrue(!findingsOf("").empty(),
+               "an empty file lacks all required keys");
+    expectTrue(!findingsOf("[").empty(), "not valid TOML");
   }
 
-  void keepsItsTimesWithinTheDeploymentsBounds() {
+  void derivesTimesFromTheDeploymentsBounds() {
     Findings findings;
-    // A gap has to be noticed before registrations that lapsed in it are taken
-    // for ended: one and a half paces at most.
+    // A gap must be detected before registrations that expired in it count as
+    // ended, so it is at most one and a half poll intervals.
     auto usual = read(Good, findings);
     expectTrue(usual->Core.NewsGap > usual->Watcher.Pace &&
                    usual->Core.NewsGap <= usual->Watcher.Pace * 3 / 2,
-               "a gap is little more than a pace");
-    auto hasty = read(replaced("3000ms", "1500.5ms"), findings);
-    expectTrue(hasty && hasty->Watcher.Pace < 260ms, "a shorter pace");
-    auto brief = read(replaced("\"6s\"", "\"1.5s\""), findings);
-    expectTrue(brief && brief->StopDelay <= 750ms, "an earlier end");
+               "a gap is slightly longer than a poll interval");
+    auto shorter = read(replaced("3000ms", "1500.5ms"), findings);
+    expectTrue(shorter && shorter->Watcher.Pace < 260ms,
+               "a shorter poll interval");
+    auto shortGrace = read(replaced("\"6s\"", "\"1.5s\""), findings);
+    expectTrue(shortGrace && shortGrace->StopDelay <= 750ms,
+               "a shorter stop delay");
     expectEqual<std::string>("", findings.text());
   }
 
-  void takesOverWhatARunningInstanceCan() {
+  void appliesChangesThatNeedNoRestart() {
     Findings findings;
     auto inUse = read(Good, findings);
     auto fresh = read(replaced("\"6s\"", "\"4s\""), findings);
     fresh->Zone = "remera";
     auto change = applyChanges(*inUse, *fresh);
     expectTrue(change.Applied == std::vector<std::string>{"times.grace"},
-               "the grace time");
+               "the grace time is applied");
     expectTrue(change.AfterRestart == std::vector<std::string>{"instance.zone"},
                "the zone needs a restart");
     expectTrue(inUse->Grace == 4s && inUse->Zone == "gikondo",
-               "and is not changed halfway");
+               "the zone in use is unchanged");
   }
 
-  // The template itself, with a value for each placeholder.
-  void readsTheTemplateOnceFilledIn() {
+  // Reads the deployment's template with a value for each placeholder.
+  void readsTheFilledInTemplate() {
     std::ifstream in(CHICORY_SOURCE_DIR "/platform/edge.toml");
     std::ostringstream text;
     text << in.rdbuf();
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -1,5 +1,5 @@
-// A whole edge instance on loopback, between a registry, a backend server and
-// a caller that this test plays.
+// Tests a complete edge instance on loopback, with a registry, a backend server
+// and a caller that the test simulates.
 
 #include "chicorybank/edge/Edge.h"
 
@@ -22,42 +22,43 @@
 namespace {
 
 constexpr uint32_t Loopback = 0x7f000001;
-constexpr int WaitMs = 5000;
+constexpr int ReceiveTimeoutMs = 5000;
 
-/// A registry over HTTP, in this process.
+/// A registry that serves HTTP from a thread of this process.
 class RegistryServer {
 public:
   RegistryServer() {
-    Http.Get("/-/kv-range", [this](const auto &call, auto &answer) {
+    Http.Get("/-/kv-range", [this](const auto &call, auto &response) {
       std::lock_guard lock(Lock);
       ItemPage page = Content.list(call.get_param_value("prefix"));
-      tellGeneration(answer);
-      answer.set_content(bareBody(page), "application/json");
+      setGenerationHeader(response);
+      response.set_content(bareBody(page), "application/json");
     });
-    Http.Get("/-/kv-key", [this](const auto &call, auto &answer) {
+    Http.Get("/-/kv-key", [this](const auto &call, auto &response) {
       std::lock_guard lock(Lock);
       const Item *item = Content.item(call.get_param_value("key"));
-      tellGeneration(answer);
-      answer.status = item ? Ok : 404;
+      setGenerationHeader(response);
+      response.status = item ? Ok : 404;
       if (item)
-        answer.set_content(itemAnswer(*item), "application/json");
+        response.set_content(itemAnswer(*item), "application/json");
     });
-    Http.Get("/-/kv-watch", [this](const auto &call, auto &answer) {
+    Http.Get("/-/kv-watch", [this](const auto &call, auto &response) {
       std::lock_guard lock(Lock);
       int64_t after = std::stoll(call.get_param_value("after"));
-      tellGeneration(answer);
-      answer.status = Content.knows(after) ? Ok : Gone;
-      answer.set_content(bareBody(Content.since(after)), "application/json");
+      setGenerationHeader(response);
+      response.status = Content.knows(after) ? Ok : Gone;
+      response.set_content(bareBody(Content.since(after)), "application/json");
     });
-    Http.Post("/-/kv-lease", [](const auto &, auto &answer) {
-      answer.set_content(R"({"lease":5,"ttl_ms":8000})", "application/json");
+    Http.Post("/-/kv-lease", [](const auto &, auto &response) {
+      response.set_content(R"({"lease":5,"ttl_ms":8000})", "application/json");
     });
-    Http.Post("/-/kv-txn", [](const auto &, auto &answer) {
-      answer.set_content(R"({"revision":1})", "application/json");
+    Http.Post("/-/kv-txn", [](const auto &, auto &response) {
+      response.set_content(R"({"revision":1})", "application/json");
     });
     Port = Http.bind_to_any_port("127.0.0.1");
     Worker = std::thread([this] { Http.listen_after_bind(); });
-    // A stop before the server runs would be lost, and the join wait for ever.
+    // A stop before the server runs would be lost, and the join would never
+    // end.
     while (!Http.is_running())
       std::this_thread::sleep_for(1ms);
   }
@@ -73,10 +74,10 @@
   int Port = 0;
 
 private:
-  /// The header that says how often the registry was restored.
-  void tellGeneration(httplib::Response &answer) const {
-    answer.set_header(Dialect.generationHeader(),
-                      std::to_string(Content.generation().Value));
+  /// Sets the header with the count of restores of the registry.
+  void setGenerationHeader(httplib::Response &response) const {
+    response.set_header(Dialect.generationHeader(),
+                        std::to_string(Content.generation().Value));
   }
 
   platform::StoreDialect Dialect;
@@ -90,7 +91,7 @@
   std::vector<std::byte> Bytes;
 };
 
-/// A UDP socket that waits for what is sent to it.
+/// A UDP socket with a blocking receive.
 class Socket {
 public:
   Socket() : Fd(std::move(*bindUdp({.Ip = Loopback, .Port = 0}))) {}
@@ -100,9 +101,9 @@
     ::sendto(Fd.get(), bytes.data(), bytes.size(), 0,
              reinterpret_cast<sockaddr *>(&raw), sizeof(raw));
   }
-  std::optional<Datagram> receive(int waitMs = WaitMs) const {
+  std::optional<Datagram> receive(int timeoutMs = ReceiveTimeoutMs) const {
     pollfd wait{.fd = Fd.get(), .events = POLLIN};
-    if (::poll(&wait, 1, waitMs) <= 0)
+    if (::poll(&wait, 1, timeoutMs) <= 0)
       return std::nullopt;
     Datagram out{std::vector<std::byte>(2048)};
     ssize_t n = ::recv(Fd.get(), out.Bytes.data(), out.Bytes.size(), 0);
@@ -132,11 +133,11 @@
 
 int readyStatus(Address ready) {
   httplib::Client client("127.0.0.1", ready.Port);
-  auto answer = client.Get("/-/ready");
-  return answer ? answer->status : 0;
+  auto response = client.Get("/-/ready");
+  return response ? response->status : 0;
 }
 
-bool becomes(int status, Address ready) {
+bool becomesStatus(int status, Address ready) {
   for (int n = 0; n < 200; ++n) {
     if (readyStatus(ready) == status)
       return true;
@@ -151,7 +152,7 @@
   CPPUNIT_TEST_SUITE(EdgeTest);
   CPPUNIT_TEST(servesAndStops);
   CPPUNIT_TEST(startsFromAPeerWithoutTheRegistry);
-  CPPUNIT_TEST(saysWhyItCannotStart);
+  CPPUNIT_TEST(reportsWhyItCannotStart);
   CPPUNIT_TEST_SUITE_END();
 
   static EdgeSettings settingsFor(const RegistryServer &registry) {
@@ -166,8 +167,9 @@
     return out;
   }
 
-  /// Whether the metrics have this line within three seconds.
-  static bool shows(const EdgeSettings &settings, const std::string &line) {
+  /// Returns whether the metrics contain `line` within three seconds.
+  static bool hasMetricsLine(const EdgeSettings &settings,
+                             const std::string &line) {
     httplib::Client client("127.0.0.1", settings.Peers.Port);
     for (int n = 0; n < 150; ++n) {
       auto metrics = client.Get("/metrics");
@@ -197,58 +199,61 @@
       ended =
           chicory::edge::runEdge(settings, "", dialect, framing).has_value();
     });
-    expectTrue(becomes(200, settings.Ready), "it is ready");
+    expectTrue(becomesStatus(200, settings.Ready), "the instance is ready");
     Socket caller;
-    section("an opening reaches the server, with its id in front", [&] {
-      caller.send(settings.Packets, opening(1000));
-      auto got = server.receive();
-      expectTrue(got && got->Bytes.size() == 40, "a packet");
-      expectEqual<int>(7, std::to_integer<int>(got->Bytes[7]));
-      expectEqual<int>(7, std::to_integer<int>(got->Bytes[8 + 29]));
-    });
-    section("bad datagrams are counted and end nothing", [&] {
-      caller.send(settings.Packets, std::vector<std::byte>(5));
-      expectTrue(shows(settings, "chicory_bad_packets_total 1"), "the counter");
-    });
+    section("an opening reaches the server, prefixed with the server's id",
+            [&] {
+              caller.send(settings.Packets, opening(1000));
+              auto got = server.receive();
+              expectTrue(got && got->Bytes.size() == 40, "a packet");
+              expectEqual<int>(7, std::to_integer<int>(got->Bytes[7]));
+              expectEqual<int>(7, std::to_integer<int>(got->Bytes[8 + 29]));
+            });
+    section(
+        "malformed datagrams are counted and do not stop the instance", [&] {
+          caller.send(settings.Packets, std::vector<std::byte>(5));
+          expectTrue(hasMetricsLine(settings, "chicory_bad_packets_total 1"),
+                     "the counter");
+        });
     section("the configuration changes", [&] {
       registry.change([](Store &it) { it.config(2); });
-      expectTrue(shows(settings, "chicory_rule_version 2"),
+      expectTrue(hasMetricsLine(settings, "chicory_rule_version 2"),
                  "version 2 within three seconds");
     });
-    section("the registry is restored from before that", [&] {
+    section("the registry is restored to an earlier state", [&] {
       Store copy;
       registry.change([&](Store &it) {
         copy = it;
         for (int n = 0; n < 20; ++n)
           it.instance("10.9.0." + std::to_string(n + 1));
       });
-      // Long enough for the instance to read that.
+      // Enough time for the instance to read the changes.
       std::this_thread::sleep_for(1500ms);
       registry.change([&](Store &it) {
         it.restore(copy);
         it.config(3);
       });
-      expectTrue(shows(settings, "chicory_rule_version 3"),
-                 "what is written then is in force in three seconds");
+      expectTrue(hasMetricsLine(settings, "chicory_rule_version 3"),
+                 "a later write is in force within three seconds");
     });
-    section("others can read its news", [&] {
+    section("other instances can read its registry updates", [&] {
       httplib::Client client("127.0.0.1", settings.Peers.Port);
       auto whole = client.Get("/news");
       expectTrue(whole && decodePage(whole->body)->Items.size() == 2,
-                 "everything");
+                 "a full copy");
       auto none = client.Get("/news?after=x");
       expectEqual<int>(404, none->status);
     });
-    section("a planned stop is announced, and forwards meanwhile", [&] {
+    section("a planned stop ends readiness first, then the instance", [&] {
       std::raise(SIGTERM);
-      expectTrue(becomes(503, settings.Ready), "not ready");
+      expectTrue(becomesStatus(503, settings.Ready), "not ready");
       edge.join();
-      expectTrue(ended, "it ends by itself");
+      expectTrue(ended, "runEdge returns without an error");
     });
   }
 
-  // Another instance, at another address of this host, on the same port, tells
-  // that it is there.
+  // A peer at another loopback address, on the same port, announces itself with
+  // pushes. The instance reads its first copy from there.
   void startsFromAPeerWithoutTheRegistry() {
     Socket server;
     Store known;
@@ -260,8 +265,9 @@
                                  R"(","zone":"a","slots":2,"state":"ready"})");
     platform::StoreDialect dialect;
     httplib::Server peer;
-    peer.Get("/news", [&](const auto &, auto &answer) {
-      answer.set_content(encodePage(known.list()), "application/octet-stream");
+    peer.Get("/news", [&](const auto &, auto &response) {
+      response.set_content(encodePage(known.list()),
+                           "application/octet-stream");
     });
     int port = peer.bind_to_any_port("127.0.0.2");
     std::thread peerThread([&] { peer.listen_after_bind(); });
@@ -280,14 +286,14 @@
       ended =
           chicory::edge::runEdge(settings, "", dialect, framing).has_value();
     });
-    Socket other;
+    Socket peerSocket;
     NewsPush push{.Sender = InstanceId{Loopback + 1}};
     push.Page.At = known.position();
     std::string bytes = encodePush(push);
     const auto *raw = reinterpret_cast<const std::byte *>(bytes.data());
     bool ready = false;
     for (int n = 0; n < 50 && !ready; ++n) {
-      other.send(settings.Peers, {raw, raw + bytes.size()});
+      peerSocket.send(settings.Peers, {raw, raw + bytes.size()});
       std::this_thread::sleep_for(50ms);
       ready = readyStatus(settings.Ready) == 200;
     }
@@ -298,16 +304,16 @@
     edge.join();
     peer.stop();
     peerThread.join();
-    expectTrue(ended, "it ends by itself");
-    expectTrue(ready, "it is ready");
+    expectTrue(ended, "runEdge returns without an error");
+    expectTrue(ready, "the instance is ready");
     expectTrue(served, "an opening reaches the server");
   }
 
-  void saysWhyItCannotStart() {
+  void reportsWhyItCannotStart() {
     RegistryServer registry;
     EdgeSettings settings = settingsFor(registry);
-    Socket other;
-    settings.Packets = other.address();
+    Socket peerSocket;
+    settings.Packets = peerSocket.address();
     platform::StoreDialect dialect;
     platform::PacketHead framing(1);
     auto done = chicory::edge::runEdge(settings, "", dialect, framing);
--- a/tests/HttpTest.cpp
+++ b/tests/HttpTest.cpp
@@ -1,4 +1,4 @@
-// The edge's HTTP client against a server that is slow.
+// Tests the edge's HTTP client against a slow server.
 
 #include "edge/Http.h"
 
@@ -16,14 +16,15 @@
 
 constexpr uint32_t Loopback = 0x7f000001;
 constexpr size_t Pieces = 8;
-constexpr Duration PieceEvery = 100ms;
+constexpr Duration PieceInterval = 100ms;
 
-/// Sends an answer piece by piece, or never goes on after the first.
+/// Sends a response piece by piece, or stalls after the first piece.
 class SlowServer {
 public:
   SlowServer() {
-    Http.Get("/slow", [](const auto &, auto &answer) { send(answer, Pieces); });
-    Http.Get("/stuck", [](const auto &, auto &answer) { send(answer, 1); });
+    Http.Get("/slow",
+             [](const auto &, auto &response) { send(response, Pieces); });
+    Http.Get("/stuck", [](const auto &, auto &response) { send(response, 1); });
     Port = static_cast<uint16_t>(Http.bind_to_any_port("127.0.0.1"));
     Worker = std::thread([this] { Http.listen_after_bind(); });
     while (!Http.is_running())
@@ -36,11 +37,11 @@
   uint16_t Port = 0;
 
 private:
-  static void send(httplib::Response &answer, size_t pieces) {
-    answer.set_content_provider(
+  static void send(httplib::Response &response, size_t pieces) {
+    response.set_content_provider(
         Pieces, "text/plain",
         [pieces](size_t offset, size_t, httplib::DataSink &sink) {
-          std::this_thread::sleep_for(offset < pieces ? PieceEvery : 1s);
+          std::this_thread::sleep_for(offset < pieces ? PieceInterval : 1s);
           return sink.write("x", 1);
         });
   }
@@ -64,25 +65,27 @@
 
 class HttpTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpTest);
-  CPPUNIT_TEST(waitsForAnAnswerThatKeepsComing);
+  CPPUNIT_TEST(keepsWaitingWhileDataArrives);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against large answers that are given up and asked for again while
-  // hundreds of instances share a link: it carries them in vain.
-  void waitsForAnAnswerThatKeepsComing() {
+  // Guards against wasted bandwidth: while hundreds of instances share a link,
+  // clients that abandon large responses and request them again fill it with
+  // data that nobody uses.
+  void keepsWaitingWhileDataArrives() {
     SlowServer server;
     HttpRequest whole{.Target = "/slow", .Timeout = 400ms};
     auto late = call(server.Port, whole);
     expectTrue(!late && late.error() == HttpFailure::TimedOut,
-               "a limit on the whole answer ends it");
+               "a timeout of the whole response ends the call");
     whole.ExtendTimeoutOnData = true;
     auto slow = call(server.Port, whole);
-    expectTrue(slow && slow->Body.size() == Pieces, "a limit on silence waits");
+    expectTrue(slow && slow->Body.size() == Pieces,
+               "a timeout that data extends waits");
     auto stuck = call(
         server.Port,
         {.Target = "/stuck", .Timeout = 400ms, .ExtendTimeoutOnData = true});
     expectTrue(!stuck && stuck.error() == HttpFailure::TimedOut,
-               "until nothing comes any more");
+               "until no more data arrives");
   }
 };
 
--- a/tests/LogTest.cpp
+++ b/tests/LogTest.cpp
@@ -1,4 +1,4 @@
-// The edge's log lines.
+// Tests the edge's log lines.
 
 #include "edge/Log.h"
 
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// What was written to a pipe.
-class Written {
+/// Captures what is written to a pipe.
+class CapturedOutput {
 public:
-  Written() { expectTrue(::pipe(Ends) == 0, "a pipe"); }
-  ~Written() {
+  CapturedOutput() { expectTrue(::pipe(Ends) == 0, "a pipe"); }
+  ~CapturedOutput() {
     ::close(Ends[0]);
     ::close(Ends[1]);
   }
@@ -32,7 +32,7 @@
   int Ends[2] = {};
 };
 
-size_t linesWith(const std::string &text, const std::string &part) {
+size_t countLinesWith(const std::string &text, const std::string &part) {
   size_t out = 0;
   for (size_t at = text.find(part); at != std::string::npos;
        at = text.find(part, at + 1))
@@ -44,12 +44,12 @@
 
 class LogTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogTest);
-  CPPUNIT_TEST(saysWhatDecided);
-  CPPUNIT_TEST(quotesWhatIsNotPlain);
-  CPPUNIT_TEST(boundsEachReasonByItself);
+  CPPUNIT_TEST(describesADecision);
+  CPPUNIT_TEST(quotesSpecialCharacters);
+  CPPUNIT_TEST(limitsEachReasonSeparately);
   CPPUNIT_TEST_SUITE_END();
 
-  void saysWhatDecided() {
+  void describesADecision() {
     Time now{10s};
     LogLine line =
         decisionLine({.What = "flow_reset",
@@ -67,7 +67,7 @@
                              line.text());
   }
 
-  void quotesWhatIsNotPlain() {
+  void quotesSpecialCharacters() {
     expectEqual<std::string>(R"( a="" b="x \"y\" z")",
                              LogLine("event")
                                  .with("a", std::string())
@@ -75,21 +75,21 @@
                                  .text());
   }
 
-  // Symptom: a user's reset is not in the log.
-  // Sequence: a flood of resets for another reason in the same second.
-  // Cause: one bound for all lines.
-  void boundsEachReasonByItself() {
-    Written written;
-    Log log(written.fd(), "one");
+  // Guards against a reset that is missing from the log because one rate limit
+  // counts all lines, and a flood of resets for another reason uses it up in
+  // the same second.
+  void limitsEachReasonSeparately() {
+    CapturedOutput output;
+    Log log(output.fd(), "one");
     for (int n = 0; n < 100; ++n)
       log.write(LogLine("flow_reset").withReason(Reason::NoMatch));
     log.write(LogLine("flow_reset").withReason(Reason::BackendGone));
-    std::string text = written.text();
-    size_t many = linesWith(text, "why=no_match");
+    std::string text = output.text();
+    size_t many = countLinesWith(text, "why=no_match");
     expectTrue(many >= Log::LinesPerSecond &&
                    many <= size_t{2} * Log::LinesPerSecond,
-               "bounded");
-    expectEqual<size_t>(1, linesWith(text, "why=backend_gone"));
+               "the flood is limited");
+    expectEqual<size_t>(1, countLinesWith(text, "why=backend_gone"));
   }
 };
 
