--- a/bench/CoreBench.cpp
+++ b/bench/CoreBench.cpp
@@ -263,7 +263,7 @@
                 .Rules = RuleVersion{100'000},
                 .Members = MembersVersion{100'000}};
   for (uint32_t i = 0; i + 1 < group; ++i)
-    out.Hears.push_back(InstanceId{100 + i});
+    out.ReachablePeers.push_back(InstanceId{100 + i});
   return out;
 }
 
@@ -333,7 +333,7 @@
                      }),
          "ns");
   PeerKey key("a key for measurements");
-  PassedOnArrived message{.Hops = 1};
+  ForwardedPacketArrived message{.Hops = 1};
   message.Packet.Datagram = datagram;
   QByteArray passedOn = encodePeerDatagram(message, InstanceId{1}, key);
   report("pass_on_encode_ns",
--- a/bench/ImbalanceBench.cpp
+++ b/bench/ImbalanceBench.cpp
@@ -70,7 +70,7 @@
     for (InstanceId it : live) {
       Books.push_back(std::make_unique<Targets>(it, it.Value, TargetOptions()));
       Books.back()->learn(compiled, Time{});
-      Books.back()->dealSlots(compiled, live);
+      Books.back()->assignSlots(compiled, live);
     }
   }
   std::optional<TargetId> choose(const Job &job, Time now) override {
--- a/include/chicorybank/base/Types.h
+++ b/include/chicorybank/base/Types.h
@@ -54,7 +54,7 @@
 using RequestId = StrongId<struct RequestTag, uint64_t>;
 /// A version of the operators' rule set. Zero means that none is known.
 using RuleVersion = StrongId<struct RuleVersionTag, uint64_t>;
-/// A version of the members document (see `core/Authority.h`).
+/// A version of the members document (see `core/OwnershipTracker.h`).
 using MembersVersion = StrongId<struct MembersVersionTag, uint64_t>;
 
 /// An IPv4 address and a port, both in host byte order.
--- a/include/chicorybank/core/Core.h
+++ b/include/chicorybank/core/Core.h
@@ -14,9 +14,9 @@
 #ifndef CHICORYBANK_CORE_CORE_H
 #define CHICORYBANK_CORE_CORE_H
 
-#include "chicorybank/core/Authority.h"
 #include "chicorybank/core/Events.h"
 #include "chicorybank/core/Membership.h"
+#include "chicorybank/core/OwnershipTracker.h"
 #include "chicorybank/core/Targets.h"
 
 #include <array>
@@ -32,15 +32,15 @@
   /// A flow without packets is forgotten after this time.
   Duration IdleTimeout = std::chrono::hours(6);
   /// How long peers may take to say what they know of a flow.
-  Duration AskTimeout = std::chrono::milliseconds(60);
+  Duration QueryTimeout = std::chrono::milliseconds(60);
   /// How long a target may take to reject a flow that it does not have.
   Duration TryTimeout = std::chrono::milliseconds(200);
   /// Flows being recovered at the same time.
   size_t MaxRecoveries = 4096;
   /// Packets kept for one flow while it is recovered.
-  size_t MaxParkedPackets = 4;
+  size_t MaxBufferedPackets = 4;
   /// Targets that are tried for one flow.
-  size_t MaxTries = 16;
+  size_t MaxRecoveryTries = 16;
   /// A flow counts as silent when its caller talks for so long without answer.
   Duration SilentAfter = std::chrono::seconds(10);
   uint8_t SilentAfterPackets = 3;
@@ -51,7 +51,7 @@
   size_t MaxRequests = 65'536;
   size_t MaxCachedBytes = 8 << 20;
   /// A request whose deadline is further away is not accepted. Longer lives
-  /// make a takeover wait longer; see `core/Authority.h`.
+  /// make a takeover wait longer; see `core/OwnershipTracker.h`.
   Duration MaxRequestLife = std::chrono::seconds(5);
   /// How far the clocks of any two instances may differ.
   Duration MaxClockSkew = std::chrono::milliseconds(100);
@@ -60,7 +60,7 @@
   double RetryShare = 0.1;
   double RetryBurst = 10;
   /// How long a previous owner may take to say whether it saw a request.
-  Duration AskTimeout = std::chrono::milliseconds(100);
+  Duration QueryTimeout = std::chrono::milliseconds(100);
 };
 
 /// How flows keep their targets. All but the first are baselines that the
@@ -80,7 +80,7 @@
   /// Milliseconds since the Unix epoch at `Time{}`.
   int64_t EpochMs = 0;
   MembershipOptions Membership;
-  AuthorityOptions Authority;
+  OwnershipOptions Ownership;
   TargetOptions Targets;
   FlowOptions Flows;
   RequestOptions Requests;
@@ -88,7 +88,7 @@
   Duration ProbeInterval = std::chrono::milliseconds(500);
   /// How long an instance that joins waits for peers and the platform before
   /// it creates the first members document.
-  Duration FoundAfter = std::chrono::seconds(1);
+  Duration JoinDelay = std::chrono::seconds(1);
   /// A stop that is not complete by then completes all the same.
   Duration StopTimeout = std::chrono::seconds(30);
 };
@@ -99,7 +99,7 @@
   std::array<uint64_t, ReasonCount> Retries{};
   uint64_t PacketsToTargets = 0;
   uint64_t PacketsToCallers = 0;
-  uint64_t PacketsPassedOn = 0;
+  uint64_t PacketsForwarded = 0;
   uint64_t FlowsOpened = 0;
   uint64_t FlowsRecoveredByPeer = 0;
   uint64_t FlowsRecoveredByTarget = 0;
@@ -154,7 +154,7 @@
   Explanation explain(const FlowKey &flow, Time now) const;
 
   const Membership &membership() const;
-  const Authority &authority() const;
+  const OwnershipTracker &ownership() const;
   const Targets &targets() const;
   const CompiledRules *rules() const;
 
--- a/include/chicorybank/core/Events.h
+++ b/include/chicorybank/core/Events.h
@@ -38,7 +38,7 @@
 };
 
 /// Another instance passed a packet on.
-struct PassedOnArrived {
+struct ForwardedPacketArrived {
   InstanceId Sender;
   PacketInFlight Packet;
   /// How many instances have had it before.
@@ -103,7 +103,7 @@
 };
 
 /// Instances were named by settings or by the platform's list.
-struct InstancesNamed {
+struct InstancesDiscovered {
   std::vector<InstanceInfo> Instances;
 };
 
@@ -113,9 +113,10 @@
 /// Time passes; send one every few milliseconds.
 struct Tick {};
 
-using Event = std::variant<PacketArrived, PassedOnArrived, QueryArrived,
-                           HeartbeatArrived, PeerRefused, RulesLearned,
-                           MembersLearned, InstancesNamed, StopRequested, Tick>;
+using Event =
+    std::variant<PacketArrived, ForwardedPacketArrived, QueryArrived,
+                 HeartbeatArrived, PeerRefused, RulesLearned, MembersLearned,
+                 InstancesDiscovered, StopRequested, Tick>;
 
 /// Send a packet to a backend server, or to the fabric for a caller.
 struct SendPacket {
@@ -127,7 +128,7 @@
 };
 
 /// Pass a packet on to another instance.
-struct PassOn {
+struct ForwardPacket {
   InstanceId To;
   PacketInFlight Packet;
   uint8_t Hops = 1;
@@ -158,7 +159,7 @@
 };
 
 /// Something that operators may want to read about later.
-struct Note {
+struct LogEvent {
   Reason Why = Reason::None;
   std::string Event;
   std::string Detail;
@@ -167,8 +168,8 @@
 /// A planned stop is complete: the process may end.
 struct SafeToStop {};
 
-using Action = std::variant<SendPacket, PassOn, SendQuery, SendHeartbeat,
-                            PullRules, WriteMembers, Note, SafeToStop>;
+using Action = std::variant<SendPacket, ForwardPacket, SendQuery, SendHeartbeat,
+                            PullRules, WriteMembers, LogEvent, SafeToStop>;
 
 /// Actions in the order in which they are to be carried out.
 using Actions = std::vector<Action>;
--- a/include/chicorybank/core/Instance.h
+++ b/include/chicorybank/core/Instance.h
@@ -33,7 +33,7 @@
 
 /// Which instances may own flows, agreed through the platform.
 ///
-/// `core/Authority.h` explains why `Previous` is part of it.
+/// `core/OwnershipTracker.h` explains why `Previous` is part of it.
 struct MembersDocument {
   MembersVersion Version;
   std::vector<InstanceId> Members;
@@ -51,7 +51,7 @@
   uint64_t Incarnation = 0;
   uint64_t Sequence = 0;
   /// The last sequence that the sender has seen from the receiver; this is
-  /// what grants a lease (see `core/Authority.h`).
+  /// what grants a lease (see `core/OwnershipTracker.h`).
   uint64_t Echo = 0;
   /// Which life of the receiver `Echo` belongs to: a lease must not pass from
   /// a process to its successor with the same id.
@@ -60,7 +60,7 @@
   RuleVersion Rules;
   MembersVersion Members;
   /// Whom the sender hears; confirms or denies a suspicion.
-  std::vector<InstanceId> Hears;
+  std::vector<InstanceId> ReachablePeers;
   /// Instances that the sender hears and the receiver does not: with the
   /// platform out of reach this is how newcomers become known.
   std::vector<InstanceInfo> Introductions;
--- a/include/chicorybank/core/Membership.h
+++ b/include/chicorybank/core/Membership.h
@@ -4,7 +4,7 @@
 // is judged by heartbeats, and by refused connections, which tell of a dead
 // process at once. Two instances may differ for a moment: for flows that is
 // harmless, because a pin is found again (see `Recovery.h`). Where it would
-// do harm, for requests that must not run twice, `Authority.h` decides.
+// do harm, for requests that must not run twice, `OwnershipTracker.h` decides.
 
 #ifndef CHICORYBANK_CORE_MEMBERSHIP_H
 #define CHICORYBANK_CORE_MEMBERSHIP_H
@@ -35,12 +35,12 @@
   uint64_t LastSequence = 0;
   RuleVersion Rules;
   MembersVersion Members;
-  std::vector<InstanceId> Hears;
+  std::vector<InstanceId> ReachablePeers;
   /// Nothing until the first heartbeat.
-  std::optional<Time> LastHeard;
+  std::optional<Time> LastHeartbeatAt;
   Time KnownSince;
   /// A connection to it was refused after its last heartbeat.
-  bool Refused = false;
+  bool ConnectionRefused = false;
 };
 
 /// The peers of one instance and the list of homes.
@@ -54,11 +54,11 @@
   void setState(InstanceState state);
 
   /// A peer was named by settings, by the platform's list or by a peer.
-  void introduce(const InstanceInfo &info, Time now);
+  void addPeer(const InstanceInfo &info, Time now);
   /// A heartbeat came. Returns false for one that is older than the last.
-  bool heard(const Heartbeat &heartbeat, Time now);
+  bool recordHeartbeat(const Heartbeat &heartbeat, Time now);
   /// A connection to a peer was refused: its process is gone.
-  void refused(InstanceId id);
+  void recordRefusal(InstanceId id);
   /// Looks for silent peers; call it every few milliseconds.
   void update(Time now);
 
@@ -68,15 +68,15 @@
   std::optional<Time> sentAt(uint64_t sequence) const;
 
   /// True while a peer is heard, whatever its state.
-  bool hears(InstanceId id, Time now) const;
+  bool isReachable(InstanceId id, Time now) const;
   /// The instances that can be a home, this one included; sorted.
   const std::vector<InstanceId> &homes() const { return Homes; }
   /// Peers that are leaving but still answer questions.
-  const std::vector<InstanceId> &leaving() const { return LeavingPeers; }
+  const std::vector<InstanceId> &leavingPeers() const { return LeavingPeers; }
   /// Peers that are heard, whatever their state.
-  std::vector<InstanceId> heardPeers(Time now) const;
+  std::vector<InstanceId> reachablePeers(Time now) const;
   /// True where nobody else that is heard hears this peer either.
-  bool confirmedSilent(InstanceId id, Time now) const;
+  bool isConfirmedUnreachable(InstanceId id, Time now) const;
   /// Null for an unknown peer.
   const Peer *find(InstanceId id) const;
   const std::map<InstanceId, Peer> &peers() const { return Peers; }
--- a/include/chicorybank/core/Authority.h
+++ b/include/chicorybank/core/OwnershipTracker.h
@@ -19,8 +19,8 @@
 //    earlier deadline `ownedSince` lets the caller of this class tell that the
 //    request may have run.
 
-#ifndef CHICORYBANK_CORE_AUTHORITY_H
-#define CHICORYBANK_CORE_AUTHORITY_H
+#ifndef CHICORYBANK_CORE_OWNERSHIPTRACKER_H
+#define CHICORYBANK_CORE_OWNERSHIPTRACKER_H
 
 #include "chicorybank/core/Instance.h"
 
@@ -31,7 +31,7 @@
 namespace chicory {
 
 /// The times of authority.
-struct AuthorityOptions {
+struct OwnershipOptions {
   /// How long a member's word counts, from the heartbeat that asked for it.
   Duration LeaseTime = std::chrono::milliseconds(2500);
   /// Added to a wait for other instances' leases, against clocks that run at
@@ -43,7 +43,7 @@
 struct OwnershipView {
   InstanceId Owner;
   /// This instance is the owner and has taken over from the one before.
-  bool Settled = false;
+  bool HandOverComplete = false;
   /// The lease of this instance; it may act before this time only.
   Time LeaseUntil;
   /// Since when no other instance can have acted for the flow.
@@ -53,29 +53,30 @@
 };
 
 /// Decides ownership. Time and messages come from outside.
-class Authority {
+class OwnershipTracker {
 public:
-  Authority(InstanceId self, Time startedAt, AuthorityOptions options);
+  OwnershipTracker(InstanceId self, Time startedAt, OwnershipOptions options);
 
   /// Takes in a members document. Returns false for one that is not newer.
   bool learn(const MembersDocument &document, Time now);
   /// A member said in a heartbeat that `version` is its newest; `echoedAt` is
   /// when the heartbeat that it answers was sent, if it answers one.
-  void heard(InstanceId from, MembersVersion version,
-             std::optional<Time> echoedAt, Time now);
+  void recordHeartbeat(InstanceId from, MembersVersion version,
+                       std::optional<Time> echoedAt, Time now);
   /// What may be done for a flow now.
-  OwnershipView view(uint64_t flowHash, Time now) const;
+  OwnershipView ownershipOf(uint64_t flowHash, Time now) const;
   /// The last time that this instance owned a flow which it owns no more;
-  /// nothing where it remembers none. `Settled` tells whether the ownership
-  /// had been taken over properly.
-  std::optional<OwnershipView> formerTenure(uint64_t flowHash, Time now) const;
+  /// nothing where it remembers none. `HandOverComplete` tells whether the
+  /// ownership had been taken over properly.
+  std::optional<OwnershipView> formerOwnership(uint64_t flowHash,
+                                               Time now) const;
 
   const MembersDocument &document() const {
     return Transitions.back().Document;
   }
   /// True where the previous document is void everywhere. The next document
   /// must not be written before.
-  bool previousRetired(Time now) const;
+  bool isPreviousDocumentRetired(Time now) const;
   /// True where this instance holds the lease of a majority.
   bool holdsLease(Time now) const { return leaseUntil() > now; }
 
@@ -104,7 +105,7 @@
 
   InstanceId Self;
   Time StartedAt;
-  AuthorityOptions Options;
+  OwnershipOptions Options;
   std::deque<Transition> Transitions;
   std::map<InstanceId, Grant> Grants;
   /// The rest of the lease that was held under the previous document.
--- a/include/chicorybank/core/Targets.h
+++ b/include/chicorybank/core/Targets.h
@@ -25,8 +25,8 @@
   /// Failures in a row after which a target is ejected.
   uint32_t EjectAfter = 3;
   /// How long the first ejection lasts; it doubles each time.
-  Duration EjectFor = std::chrono::seconds(2);
-  Duration EjectForMost = std::chrono::seconds(60);
+  Duration BaseEjectionTime = std::chrono::seconds(2);
+  Duration MaxEjectionTime = std::chrono::seconds(60);
   /// The share of a service that may be ejected at a time.
   double MaxEjectedShare = 0.7;
   /// A new target reaches its full weight after this time.
@@ -34,9 +34,9 @@
   /// How long a target that shed is left alone.
   Duration CoolDown = std::chrono::milliseconds(30);
   /// A drain that nobody repeats is forgotten after this time.
-  Duration DrainMemory = std::chrono::seconds(30);
+  Duration DrainExpiry = std::chrono::seconds(30);
   /// How long a drain is told to peers after this instance was told itself.
-  Duration AnnounceFor = std::chrono::seconds(3);
+  Duration DrainAnnounceTime = std::chrono::seconds(3);
 };
 
 /// What this instance has seen of one target.
@@ -46,16 +46,16 @@
   uint32_t Flows = 0;
   /// This instance's part of the target's slots.
   uint32_t Share = 0;
-  uint32_t FailuresInRow = 0;
+  uint32_t ConsecutiveFailures = 0;
   uint32_t Ejections = 0;
   Time EjectedUntil;
-  Time CoolUntil;
+  Time CoolDownUntil;
   Time FirstSeen;
-  Time LastHeard;
+  Time LastPacketAt;
   /// Until when the target counts as leaving, by reports.
   Time DrainingUntil;
   /// When this instance itself was last told so; peers hear of that only.
-  std::optional<Time> DrainToldAt;
+  std::optional<Time> DrainReportedAt;
   bool OperatorDrain = false;
   uint16_t Weight = 1;
 };
@@ -71,7 +71,8 @@
   /// The rule set changed.
   void learn(const CompiledRules &rules, Time now);
   /// The live instances changed: deal the slots anew.
-  void dealSlots(const CompiledRules &rules, std::span<const InstanceId> live);
+  void assignSlots(const CompiledRules &rules,
+                   std::span<const InstanceId> live);
 
   /// The target for a new flow, or none. The choice is between the first two
   /// of the weighted rendezvous order, so that a lost pin is found again in
@@ -95,11 +96,11 @@
   void flowPinned(TargetId target, ServiceId service);
   void flowEnded(TargetId target);
   /// Any packet came from a target.
-  void heard(TargetId target, Time now);
+  void recordPacket(TargetId target, Time now);
   /// A target is leaving: it said so itself, or a peer that it told did.
-  void draining(TargetId target, bool toldByTarget, Time now);
+  void markDraining(TargetId target, bool reportedByTarget, Time now);
   /// A report says that it is not.
-  void notDraining(TargetId target);
+  void clearDraining(TargetId target);
   /// Targets that have lately told this instance that they are leaving.
   std::vector<TargetId> drainsToAnnounce(Time now) const;
 
--- a/include/chicorybank/peer/Messages.h
+++ b/include/chicorybank/peer/Messages.h
@@ -38,7 +38,7 @@
 using ControlMessage = std::variant<Heartbeat, RuleRequest, RuleDocument>;
 
 /// What goes in datagrams between instances.
-using PeerDatagram = std::variant<PassedOnArrived, FlowQuery, FlowReply>;
+using PeerDatagram = std::variant<ForwardedPacketArrived, FlowQuery, FlowReply>;
 
 /// Proves that a message comes from an instance that has the shared key.
 ///
@@ -75,8 +75,8 @@
 bool isPeerDatagram(const QByteArray &datagram);
 
 /// The inverse of `encodePeerDatagram`. Fails with BadPeerMessage, BadVersion
-/// or BadPeerKey. The packet that a PassedOnArrived carries is not decoded:
-/// only `Packet.Datagram` and `Packet.From` are filled.
+/// or BadPeerKey. The packet that a ForwardedPacketArrived carries is not
+/// decoded: only `Packet.Datagram` and `Packet.From` are filled.
 tl::expected<PeerDatagram, Reason> decodePeerDatagram(const QByteArray &bytes,
                                                       const PeerKey &key);
 
--- a/lib/core/ControlPath.cpp
+++ b/lib/core/ControlPath.cpp
@@ -38,25 +38,26 @@
 
 void ControlPath::note(Actions &actions, std::string event,
                        std::string detail) const {
-  actions.emplace_back(Note{.Why = Reason::None,
-                            .Event = std::move(event),
-                            .Detail = std::move(detail)});
+  actions.emplace_back(LogEvent{.Why = Reason::None,
+                                .Event = std::move(event),
+                                .Detail = std::move(detail)});
 }
 
 void ControlPath::heartbeat(const Heartbeat &message, Time now,
                             Actions &actions) {
-  bool newPeer = !Shared.Members.hears(message.Sender.Id, now);
-  if (!Shared.Members.heard(message, now))
+  bool newPeer = !Shared.Members.isReachable(message.Sender.Id, now);
+  if (!Shared.Members.recordHeartbeat(message, now))
     return;
   std::optional<Time> echoedAt;
   if (message.EchoIncarnation == Shared.Options.Incarnation)
     echoedAt = Shared.Members.sentAt(message.Echo);
   if (message.Document.Version > MembersVersion{})
     members(message.Document, now, actions);
-  Shared.Owners.heard(message.Sender.Id, message.Members, echoedAt, now);
+  Shared.Owners.recordHeartbeat(message.Sender.Id, message.Members, echoedAt,
+                                now);
   instances(message.Introductions, now);
   for (TargetId it : message.Draining)
-    Shared.Book.draining(it, false, now);
+    Shared.Book.markDraining(it, false, now);
   bool behind = message.Rules > Shared.History.version();
   if (behind && now - LastPull > PullAgainAfter) {
     LastPull = now;
@@ -72,7 +73,7 @@
 }
 
 void ControlPath::refused(InstanceId peer, Actions &actions) {
-  Shared.Members.refused(peer);
+  Shared.Members.recordRefusal(peer);
   if (std::find(KnownHomes.begin(), KnownHomes.end(), peer) != KnownHomes.end())
     note(actions, "peer_refused", std::to_string(peer.Value));
   homesChanged();
@@ -83,7 +84,7 @@
     return;
   KnownHomes = Shared.Members.homes();
   if (const CompiledRules *rules = Shared.History.newest())
-    Shared.Book.dealSlots(*rules, KnownHomes);
+    Shared.Book.assignSlots(*rules, KnownHomes);
 }
 
 void ControlPath::rules(const CompiledRulesPtr &rules, Time now,
@@ -91,7 +92,7 @@
   if (!Shared.History.learn(rules))
     return;
   Shared.Book.learn(*rules, now);
-  Shared.Book.dealSlots(*rules, Shared.Members.homes());
+  Shared.Book.assignSlots(*rules, Shared.Members.homes());
   note(actions, "rules_in_force", std::to_string(rules->version().Value));
   // Tell the others at once: some may be cut off from the platform.
   NextHeartbeat = now;
@@ -104,10 +105,10 @@
   RuleVersion own = Shared.History.version();
   bool current = own > RuleVersion{};
   for (const auto &[id, peer] : Shared.Members.peers())
-    if (Shared.Members.hears(id, now) && peer.Rules > own)
+    if (Shared.Members.isReachable(id, now) && peer.Rules > own)
       current = false;
   // Peers and the platform get time to tell of a newer version.
-  if (!current || now - Shared.StartedAt < Shared.Options.FoundAfter)
+  if (!current || now - Shared.StartedAt < Shared.Options.JoinDelay)
     return;
   Shared.Members.setState(InstanceState::Live);
   NextHeartbeat = now;
@@ -127,7 +128,7 @@
 
 void ControlPath::instances(const std::vector<InstanceInfo> &named, Time now) {
   for (const InstanceInfo &it : named)
-    Shared.Members.introduce(it, now);
+    Shared.Members.addPeer(it, now);
 }
 
 void ControlPath::stop(Time now, Actions &actions) {
@@ -141,21 +142,22 @@
 }
 
 void ControlPath::report(const PacketInFlight &packet, Time now) {
-  Shared.Book.heard(packet.From, now);
+  Shared.Book.recordPacket(packet.From, now);
   if (packet.Content.Draining)
-    Shared.Book.draining(packet.From, true, now);
+    Shared.Book.markDraining(packet.From, true, now);
   else
-    Shared.Book.notDraining(packet.From);
+    Shared.Book.clearDraining(packet.From);
 }
 
 std::vector<InstanceInfo> ControlPath::introductionsFor(const Peer &receiver,
                                                         Time now) const {
   std::vector<InstanceInfo> out;
   for (const auto &[id, peer] : Shared.Members.peers()) {
-    bool known = id == receiver.Info.Id || contains(receiver.Hears, id);
+    bool known =
+        id == receiver.Info.Id || contains(receiver.ReachablePeers, id);
     // Mostly the two find each other without help; that is cheaper.
     bool settled = now - peer.KnownSince > IntroduceAfter;
-    if (!known && settled && Shared.Members.hears(id, now) &&
+    if (!known && settled && Shared.Members.isReachable(id, now) &&
         out.size() < MaxIntroductions)
       out.push_back(peer.Info);
   }
@@ -172,7 +174,7 @@
     message.Echo = peer.LastSequence;
     message.EchoIncarnation = peer.Incarnation;
     message.Introductions = introductionsFor(peer, now);
-    if (contains(peer.Hears, Shared.self()))
+    if (contains(peer.ReachablePeers, Shared.self()))
       message.Sender = {.Id = Shared.self()}; // It has the addresses.
     if (peer.Members < common.Members)
       message.Document = Shared.Owners.document();
@@ -187,10 +189,12 @@
     const Peer *peer = Shared.Members.find(it);
     bool leaves = it == Shared.self()
                       ? StopAsked.has_value()
-                      : peer != nullptr && Shared.Members.hears(it, now) &&
+                      : peer != nullptr &&
+                            Shared.Members.isReachable(it, now) &&
                             peer->State == InstanceState::Leaving;
     // A member that others hear is not dead, only out of this one's reach.
-    bool dead = it != Shared.self() && Shared.Members.confirmedSilent(it, now);
+    bool dead =
+        it != Shared.self() && Shared.Members.isConfirmedUnreachable(it, now);
     if (!present && !leaves && !dead)
       out.push_back(it);
   }
@@ -218,13 +222,13 @@
     LastWanted = wanted;
   }
   // Writing a document before the one before the last is void would break
-  // the hand-over rule of `Authority`.
+  // the hand-over rule of `OwnershipTracker`.
   bool due = now - *WantedSince >= proposalDelay() &&
-             Shared.Owners.previousRetired(now);
+             Shared.Owners.isPreviousDocumentRetired(now);
   // The smaller side of a partition could remove the larger one, and gain
   // nothing: it can't retire the larger side's document.
   auto heard = [&](InstanceId it) {
-    return it == Shared.self() || Shared.Members.hears(it, now);
+    return it == Shared.self() || Shared.Members.isReachable(it, now);
   };
   auto reach =
       std::count_if(current.Members.begin(), current.Members.end(), heard);
@@ -264,7 +268,7 @@
     return false;
   for (InstanceId it : Shared.Members.homes()) {
     const Peer *peer = Shared.Members.find(it);
-    if (peer != nullptr && Shared.Members.hears(it, now) &&
+    if (peer != nullptr && Shared.Members.isReachable(it, now) &&
         peer->Members < document.Version)
       return false;
   }
--- a/lib/core/Core.cpp
+++ b/lib/core/Core.cpp
@@ -40,7 +40,7 @@
         Requests(State, Flows), Control(State, Flows, Requests) {}
 
   void on(const PacketArrived &event) { route(event.Packet, 0); }
-  void on(const PassedOnArrived &event);
+  void on(const ForwardedPacketArrived &event);
   void on(const QueryArrived &event);
   void on(const HeartbeatArrived &event) {
     Control.heartbeat(event.Message, Now, *Out);
@@ -50,7 +50,7 @@
   void on(const MembersLearned &event) {
     Control.members(event.Document, Now, *Out);
   }
-  void on(const InstancesNamed &event) {
+  void on(const InstancesDiscovered &event) {
     Control.instances(event.Instances, Now);
   }
   void on(const StopRequested & /*event*/) { Control.stop(Now, *Out); }
@@ -63,7 +63,7 @@
 
   /// A packet from an instance that holds newer rules than this one.
   struct Waiting {
-    PassedOnArrived Event;
+    ForwardedPacketArrived Event;
     Time Until;
   };
 
@@ -80,7 +80,7 @@
   uint64_t hash = hashFlow(packet.Flow);
   if (isAboutRequest(packet)) {
     InstanceId owner = rendezvousFirst(hash, State.Owners.document().Members);
-    if (owner == State.self() || State.Members.hears(owner, Now))
+    if (owner == State.self() || State.Members.isReachable(owner, Now))
       return owner;
   }
   if (State.Options.FlowPlacement != Placement::Pinned)
@@ -108,7 +108,7 @@
   bool ours = content.ToCaller && Requests.holds(content);
   bool here = ours || to == State.self() || to == InstanceId{};
   if (!here && hops < MaxHops)
-    return State.passOn(to, packet, hops + 1, *Out);
+    return State.forward(to, packet, hops + 1, *Out);
   if (!here)
     State.refuse(Reason::HopLimit);
   local(packet, hops);
@@ -136,7 +136,7 @@
   }
 }
 
-void CoreImpl::on(const PassedOnArrived &event) {
+void CoreImpl::on(const ForwardedPacketArrived &event) {
   bool decides = event.Packet.Content.Kind == PacketKind::Open ||
                  event.Packet.Content.Kind == PacketKind::Request;
   bool behind = event.Rules > State.History.version();
@@ -224,7 +224,7 @@
                   .Replier = state.self(),
                   .Rules = state.History.version(),
                   .Home = state.homeOf(hash),
-                  .Owner = state.Owners.view(hash, now).Owner};
+                  .Owner = state.Owners.ownershipOf(hash, now).Owner};
   if (const FlowPin *pin = Impl->Flows.find(flow)) {
     out.PinnedTarget = pin->PinnedTarget;
     const CompiledRules *rules = state.History.newest();
@@ -253,7 +253,7 @@
 }
 
 const Membership &Core::membership() const { return Impl->State.Members; }
-const Authority &Core::authority() const { return Impl->State.Owners; }
+const OwnershipTracker &Core::ownership() const { return Impl->State.Owners; }
 const Targets &Core::targets() const { return Impl->State.Book; }
 const CompiledRules *Core::rules() const {
   return Impl->State.History.newest();
--- a/lib/core/CoreState.h
+++ b/lib/core/CoreState.h
@@ -17,7 +17,7 @@
   CoreState(CoreOptions options, Time startedAt)
       : Options(std::move(options)), StartedAt(startedAt),
         Members(Options.Self, Options.Incarnation, Options.Membership),
-        Owners(Options.Self.Id, startedAt, Options.Authority),
+        Owners(Options.Self.Id, startedAt, Options.Ownership),
         History(Options.Flows.HistoryDepth),
         Book(Options.Self.Id, Options.Seed, Options.Targets),
         Random(Options.Seed) {}
@@ -25,7 +25,7 @@
   CoreOptions Options;
   Time StartedAt;
   Membership Members;
-  Authority Owners;
+  OwnershipTracker Owners;
   RuleHistory History;
   Targets Book;
   std::mt19937_64 Random;
@@ -63,10 +63,10 @@
                                     .Content = packet.Content,
                                     .Datagram = packet.Datagram});
   }
-  void passOn(InstanceId to, const PacketInFlight &packet, uint8_t hops,
-              Actions &actions) {
-    ++Stats.PacketsPassedOn;
-    actions.emplace_back(PassOn{
+  void forward(InstanceId to, const PacketInFlight &packet, uint8_t hops,
+               Actions &actions) {
+    ++Stats.PacketsForwarded;
+    actions.emplace_back(ForwardPacket{
         .To = to, .Packet = packet, .Hops = hops, .Rules = History.version()});
   }
 };
--- a/lib/core/FlowPath.cpp
+++ b/lib/core/FlowPath.cpp
@@ -53,8 +53,9 @@
 void FlowPath::parkTentative(const PacketInFlight &packet) {
   // The target may yet reject the flow; the next one gets this packet too.
   auto it = Recoveries.find(packet.Content.Flow);
-  bool room = it != Recoveries.end() &&
-              it->second.Parked.size() < Shared.Options.Flows.MaxParkedPackets;
+  bool room =
+      it != Recoveries.end() &&
+      it->second.Parked.size() < Shared.Options.Flows.MaxBufferedPackets;
   if (room)
     it->second.Parked.push_back(packet);
 }
@@ -120,7 +121,7 @@
                           Actions &actions) {
   const FlowKey &flow = packet.Content.Flow;
   PacketKind kind = packet.Content.Kind;
-  Shared.Book.heard(packet.From, now);
+  Shared.Book.recordPacket(packet.From, now);
   if (Shared.Options.FlowPlacement != Placement::Pinned)
     return Shared.sendToCaller(packet, actions);
   if (kind == PacketKind::Reset && rejected(packet, now, actions))
@@ -187,7 +188,7 @@
   const FlowOptions &options = Shared.Options.Flows;
   auto it = Recoveries.find(flow);
   if (it != Recoveries.end()) {
-    if (it->second.Parked.size() < options.MaxParkedPackets)
+    if (it->second.Parked.size() < options.MaxBufferedPackets)
       it->second.Parked.push_back(packet);
     else
       Shared.refuse(Reason::RecoveryBufferFull);
@@ -197,11 +198,11 @@
     return Shared.refuse(Reason::RecoveryBufferFull);
   Recovery &recovery = Recoveries[flow];
   recovery.Parked.push_back(packet);
-  recovery.Deadline = now + options.AskTimeout;
+  recovery.Deadline = now + options.QueryTimeout;
   std::vector<InstanceId> peers =
       rendezvousOrder(hashFlow(flow), Shared.Members.homes(), PeersToAsk + 1);
   std::erase(peers, Shared.self());
-  const std::vector<InstanceId> &leaving = Shared.Members.leaving();
+  const std::vector<InstanceId> &leaving = Shared.Members.leavingPeers();
   peers.insert(peers.end(), leaving.begin(), leaving.end());
   for (InstanceId peer : peers)
     actions.emplace_back(
@@ -253,7 +254,7 @@
   std::vector<TargetId> targets = Shared.History.targetsOf(services.front());
   recovery.Candidates =
       rendezvousOrder(hashFlow(flow), std::span(std::as_const(targets)),
-                      Shared.Options.Flows.MaxTries);
+                      Shared.Options.Flows.MaxRecoveryTries);
   if (!tryNext(flow, recovery, now, actions))
     exhausted(flow, now, actions);
 }
@@ -313,7 +314,7 @@
       pin.LastFromCaller - std::min(pin.LastFromTarget, pin.LastFromCaller));
   bool silent = pin.Unanswered >= options.SilentAfterPackets &&
                 silentFor >= options.SilentAfter && target != nullptr &&
-                now - target->LastHeard < options.SilentAfter / 2;
+                now - target->LastPacketAt < options.SilentAfter / 2;
   if (!silent)
     return false;
   PacketInFlight reset = barePacket(PacketKind::Reset, pin.key(), false);
--- a/lib/core/Membership.cpp
+++ b/lib/core/Membership.cpp
@@ -14,7 +14,7 @@
   rebuild(LastUpdate);
 }
 
-void Membership::introduce(const InstanceInfo &info, Time now) {
+void Membership::addPeer(const InstanceInfo &info, Time now) {
   if (info.Id == Self.Id || info.Id == InstanceId{})
     return;
   auto [it, fresh] = Peers.try_emplace(info.Id);
@@ -24,14 +24,14 @@
   it->second.KnownSince = now;
 }
 
-bool Membership::heard(const Heartbeat &heartbeat, Time now) {
+bool Membership::recordHeartbeat(const Heartbeat &heartbeat, Time now) {
   InstanceId from = heartbeat.Sender.Id;
   bool bare = !heartbeat.Sender.Peers;
   // Bare heartbeats go to receivers that are known to have the addresses; one
   // that has forgotten them answers nothing until it gets them again.
   if (from == Self.Id || (bare && !Peers.contains(from)))
     return false;
-  introduce(heartbeat.Sender, now);
+  addPeer(heartbeat.Sender, now);
   Peer &peer = Peers[from];
   bool sameLife = peer.Incarnation == heartbeat.Incarnation;
   if (sameLife && heartbeat.Sequence <= peer.LastSequence)
@@ -43,33 +43,35 @@
   peer.State = heartbeat.State;
   peer.Rules = heartbeat.Rules;
   peer.Members = heartbeat.Members;
-  peer.Hears = heartbeat.Hears;
-  peer.LastHeard = now;
-  peer.Refused = false;
+  peer.ReachablePeers = heartbeat.ReachablePeers;
+  peer.LastHeartbeatAt = now;
+  peer.ConnectionRefused = false;
   rebuild(now);
   return true;
 }
 
-void Membership::refused(InstanceId id) {
+void Membership::recordRefusal(InstanceId id) {
   auto it = Peers.find(id);
-  if (it == Peers.end() || !it->second.LastHeard)
+  if (it == Peers.end() || !it->second.LastHeartbeatAt)
     return;
-  it->second.Refused = true;
+  it->second.ConnectionRefused = true;
   rebuild(LastUpdate);
 }
 
 void Membership::update(Time now) {
   // After a pause of this very process every peer looks silent, and it would
   // take itself for everyone's home. Its own silence is not theirs: they get
-  // the time to be heard again. Leases are not extended (see `Authority`).
+  // the time to be heard again. Leases are not extended (see
+  // `OwnershipTracker`).
   Duration gap = now - LastUpdate;
   if (LastUpdate != Time{} && gap > Options.HeartbeatInterval)
     for (auto &[id, peer] : Peers)
-      if (peer.LastHeard)
-        *peer.LastHeard += gap;
+      if (peer.LastHeartbeatAt)
+        *peer.LastHeartbeatAt += gap;
   std::erase_if(Peers, [&](const auto &entry) {
     const Peer &peer = entry.second;
-    return now - peer.LastHeard.value_or(peer.KnownSince) > Options.ForgetAfter;
+    return now - peer.LastHeartbeatAt.value_or(peer.KnownSince) >
+           Options.ForgetAfter;
   });
   rebuild(now);
 }
@@ -81,7 +83,7 @@
   if (State == InstanceState::Live)
     Homes.push_back(Self.Id);
   for (const auto &[id, peer] : Peers) {
-    if (!hears(id, now))
+    if (!isReachable(id, now))
       continue;
     if (peer.State == InstanceState::Live)
       Homes.push_back(id);
@@ -98,7 +100,7 @@
           .Incarnation = Incarnation,
           .Sequence = Sequence,
           .State = State,
-          .Hears = heardPeers(now)};
+          .ReachablePeers = reachablePeers(now)};
 }
 
 std::optional<Time> Membership::sentAt(uint64_t sequence) const {
@@ -109,26 +111,26 @@
   return SentTimes[sequence % SentTimesKept];
 }
 
-bool Membership::hears(InstanceId id, Time now) const {
+bool Membership::isReachable(InstanceId id, Time now) const {
   const Peer *peer = find(id);
-  return peer != nullptr && peer->LastHeard && !peer->Refused &&
-         now - *peer->LastHeard <= Options.SuspectAfter;
+  return peer != nullptr && peer->LastHeartbeatAt && !peer->ConnectionRefused &&
+         now - *peer->LastHeartbeatAt <= Options.SuspectAfter;
 }
 
-std::vector<InstanceId> Membership::heardPeers(Time now) const {
+std::vector<InstanceId> Membership::reachablePeers(Time now) const {
   std::vector<InstanceId> out;
   for (const auto &[id, peer] : Peers)
-    if (hears(id, now))
+    if (isReachable(id, now))
       out.push_back(id);
   return out;
 }
 
-bool Membership::confirmedSilent(InstanceId id, Time now) const {
-  if (hears(id, now))
+bool Membership::isConfirmedUnreachable(InstanceId id, Time now) const {
+  if (isReachable(id, now))
     return false;
   return std::none_of(Peers.begin(), Peers.end(), [&](const auto &entry) {
-    const std::vector<InstanceId> &theirs = entry.second.Hears;
-    return hears(entry.first, now) &&
+    const std::vector<InstanceId> &theirs = entry.second.ReachablePeers;
+    return isReachable(entry.first, now) &&
            std::find(theirs.begin(), theirs.end(), id) != theirs.end();
   });
 }
--- a/lib/core/Authority.cpp
+++ b/lib/core/OwnershipTracker.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/core/Authority.h"
+#include "chicorybank/core/OwnershipTracker.h"
 
 #include "chicorybank/core/Rendezvous.h"
 
@@ -18,12 +18,13 @@
 
 } // namespace
 
-Authority::Authority(InstanceId self, Time startedAt, AuthorityOptions options)
+OwnershipTracker::OwnershipTracker(InstanceId self, Time startedAt,
+                                   OwnershipOptions options)
     : Self(self), StartedAt(startedAt), Options(options) {
   Transitions.push_back({.LearnedAt = startedAt});
 }
 
-bool Authority::learn(const MembersDocument &document, Time now) {
+bool OwnershipTracker::learn(const MembersDocument &document, Time now) {
   if (document.Version <= this->document().Version)
     return false;
   // Nobody can have taken over under the next document but one before this
@@ -40,8 +41,8 @@
   return true;
 }
 
-void Authority::noteMovedOn(Transition &transition, InstanceId member,
-                            Time now) {
+void OwnershipTracker::noteMovedOn(Transition &transition, InstanceId member,
+                                   Time now) {
   const std::vector<InstanceId> &previous = transition.Document.Previous;
   if (!contains(previous, member))
     return;
@@ -51,8 +52,8 @@
     transition.MajorityMovedOn = now;
 }
 
-void Authority::heard(InstanceId from, MembersVersion version,
-                      std::optional<Time> echoedAt, Time now) {
+void OwnershipTracker::recordHeartbeat(InstanceId from, MembersVersion version,
+                                       std::optional<Time> echoedAt, Time now) {
   for (Transition &it : Transitions)
     if (version >= it.Document.Version)
       noteMovedOn(it, from, now);
@@ -63,7 +64,7 @@
     grant.Until = std::max(grant.Until, *echoedAt + Options.LeaseTime);
 }
 
-Time Authority::leaseUntil() const {
+Time OwnershipTracker::leaseUntil() const {
   const MembersDocument &doc = document();
   if (!contains(doc.Members, Self))
     return Time{};
@@ -81,9 +82,9 @@
   return std::max(until[needed - 1], Inherited);
 }
 
-std::optional<Time> Authority::handedOverAt(const Transition &transition,
-                                            InstanceId previousOwner,
-                                            Time now) const {
+std::optional<Time> OwnershipTracker::handedOverAt(const Transition &transition,
+                                                   InstanceId previousOwner,
+                                                   Time now) const {
   if (auto it = transition.MovedOn.find(previousOwner);
       it != transition.MovedOn.end())
     return it->second;
@@ -94,16 +95,17 @@
   return retired <= now ? std::optional(retired) : std::nullopt;
 }
 
-bool Authority::previousRetired(Time now) const {
+bool OwnershipTracker::isPreviousDocumentRetired(Time now) const {
   const Transition &last = Transitions.back();
   return std::all_of(
       last.Document.Previous.begin(), last.Document.Previous.end(),
       [&](InstanceId id) { return handedOverAt(last, id, now).has_value(); });
 }
 
-OwnershipView Authority::tenure(uint64_t flowHash, size_t newest,
-                                Time now) const {
-  OwnershipView out{.Owner = Self, .Settled = true, .OwnedSince = StartedAt};
+OwnershipView OwnershipTracker::tenure(uint64_t flowHash, size_t newest,
+                                       Time now) const {
+  OwnershipView out{
+      .Owner = Self, .HandOverComplete = true, .OwnedSince = StartedAt};
   // Walk back to the transition that moved the flow to this instance.
   for (size_t i = newest; i > 0; --i) {
     const Transition &it = Transitions[i];
@@ -112,7 +114,7 @@
     if (before != Self && before != InstanceId{}) {
       std::optional<Time> at = handedOverAt(it, before, now);
       out.PreviousOwner = before;
-      out.Settled = at.has_value();
+      out.HandOverComplete = at.has_value();
       out.OwnedSince = std::max(StartedAt, at.value_or(now));
       return out;
     }
@@ -128,7 +130,7 @@
   return out;
 }
 
-OwnershipView Authority::view(uint64_t flowHash, Time now) const {
+OwnershipView OwnershipTracker::ownershipOf(uint64_t flowHash, Time now) const {
   const MembersDocument &doc = document();
   InstanceId owner = rendezvousFirst(flowHash, doc.Members);
   OwnershipView out{.Owner = owner};
@@ -140,8 +142,8 @@
   return out;
 }
 
-std::optional<OwnershipView> Authority::formerTenure(uint64_t flowHash,
-                                                     Time now) const {
+std::optional<OwnershipView>
+OwnershipTracker::formerOwnership(uint64_t flowHash, Time now) const {
   if (rendezvousFirst(flowHash, document().Members) == Self)
     return std::nullopt;
   for (size_t i = Transitions.size(); i-- > 0;) {
--- a/lib/core/RequestOutcome.cpp
+++ b/lib/core/RequestOutcome.cpp
@@ -21,16 +21,17 @@
 bool RequestPath::passToFormerOwner(const PacketInFlight &packet, uint8_t hops,
                                     Time now, Actions &actions) {
   uint64_t hash = hashFlow(packet.Content.Flow);
-  OwnershipView view = Shared.Owners.view(hash, now);
-  if (hops >= MaxRequestHops || !Shared.Members.hears(view.PreviousOwner, now))
+  OwnershipView view = Shared.Owners.ownershipOf(hash, now);
+  if (hops >= MaxRequestHops ||
+      !Shared.Members.isReachable(view.PreviousOwner, now))
     return false;
-  Shared.passOn(view.PreviousOwner, packet, hops + 1, actions);
+  Shared.forward(view.PreviousOwner, packet, hops + 1, actions);
   return true;
 }
 
 void RequestPath::fromTarget(const PacketInFlight &packet, uint8_t hops,
                              Time now, Actions &actions) {
-  Shared.Book.heard(packet.From, now);
+  Shared.Book.recordPacket(packet.From, now);
   const Packet &content = packet.Content;
   Entry entry =
       Records.find({.Flow = content.Flow, .Request = content.Request});
@@ -135,7 +136,7 @@
                                   Time now, Actions &actions) {
   const Packet &content = packet.Content;
   if (content.Why == Reason::TargetDraining)
-    Shared.Book.draining(packet.From, true, now);
+    Shared.Book.markDraining(packet.From, true, now);
   const auto *running = std::get_if<Running>(&entry->second.Life);
   if (running == nullptr || running->At != packet.From)
     return Shared.refuse(Reason::StrayAnswer);
--- a/lib/core/RequestPath.cpp
+++ b/lib/core/RequestPath.cpp
@@ -19,10 +19,10 @@
 RequestPath::Standing RequestPath::standing(const FlowKey &flow, Time deadline,
                                             Time now) const {
   const RequestOptions &options = Shared.Options.Requests;
-  OwnershipView view = Shared.Owners.view(hashFlow(flow), now);
+  OwnershipView view = Shared.Owners.ownershipOf(hashFlow(flow), now);
   if (view.Owner != Shared.self())
     return {.Why = Reason::NotOwner, .RetryAfter = UnsettledRetryAfter};
-  if (!view.Settled)
+  if (!view.HandOverComplete)
     return {.Why = Reason::HandOverPending, .RetryAfter = UnsettledRetryAfter};
   if (view.LeaseUntil <= now)
     return {.Why = Reason::LeaseLapsed, .RetryAfter = UnsettledRetryAfter};
@@ -34,7 +34,7 @@
       view.OwnedSince + options.MaxRequestLife + 2 * options.MaxClockSkew;
   if (deadline > provenAfter)
     return {.Sole = true};
-  bool canAsk = Shared.Members.hears(view.PreviousOwner, now);
+  bool canAsk = Shared.Members.isReachable(view.PreviousOwner, now);
   return {.Why = Reason::MayHaveRun,
           .Ask = canAsk ? view.PreviousOwner : InstanceId{},
           .RetryAfter = provenAfter - deadline};
@@ -78,7 +78,7 @@
   entry->second.Sole = who.Sole;
   if (!ask)
     return admit(entry, now, actions);
-  setTimer(entry, now + Shared.Options.Requests.AskTimeout);
+  setTimer(entry, now + Shared.Options.Requests.QueryTimeout);
   actions.emplace_back(
       SendQuery{.To = who.Ask,
                 .Message = FlowQuery{.Flow = content.Flow,
@@ -250,7 +250,7 @@
                   .Request = query.Request,
                   .Result = QueryResult::MayBeSeen,
                   .Replier = Shared.self()};
-  auto tenure = Shared.Owners.formerTenure(hashFlow(query.Flow), now);
+  auto tenure = Shared.Owners.formerOwnership(hashFlow(query.Flow), now);
   const RequestOptions &options = Shared.Options.Requests;
   if (Records.contains({.Flow = query.Flow, .Request = query.Request})) {
     reply.Result = QueryResult::Seen;
@@ -259,10 +259,11 @@
     // any more, and the one before it had left before this deadline's time.
     Time provenAfter =
         tenure->OwnedSince + options.MaxRequestLife + 2 * options.MaxClockSkew;
-    if (tenure->Settled && Shared.fromWire(query.DeadlineMs) > provenAfter)
+    if (tenure->HandOverComplete &&
+        Shared.fromWire(query.DeadlineMs) > provenAfter)
       reply.Result = QueryResult::NotSeen;
     else if (query.Hops < MaxRequestHops &&
-             Shared.Members.hears(tenure->PreviousOwner, now)) {
+             Shared.Members.isReachable(tenure->PreviousOwner, now)) {
       FlowQuery onward = query;
       ++onward.Hops;
       actions.emplace_back(
@@ -287,7 +288,7 @@
     PacketInFlight request = entry->second.Request;
     --Unfinished;
     erase(entry);
-    return Shared.passOn(reply.Replier, request, MaxRequestHops, actions);
+    return Shared.forward(reply.Replier, request, MaxRequestHops, actions);
   }
   case QueryResult::MayBeSeen:
     return finish(entry,
--- a/lib/core/Targets.cpp
+++ b/lib/core/Targets.cpp
@@ -53,8 +53,8 @@
   });
 }
 
-void Targets::dealSlots(const CompiledRules &rules,
-                        std::span<const InstanceId> live) {
+void Targets::assignSlots(const CompiledRules &rules,
+                          std::span<const InstanceId> live) {
   for (auto &[id, state] : States)
     state.Share = 0;
   if (live.empty())
@@ -142,7 +142,7 @@
     if (state == nullptr)
       continue;
     running += state->InFlight;
-    bool open = usable(*state, now) && state->CoolUntil <= now &&
+    bool open = usable(*state, now) && state->CoolDownUntil <= now &&
                 state->InFlight < service.Slots && !contains(tried, target.Id);
     if (!open)
       continue;
@@ -194,12 +194,13 @@
 }
 
 void Targets::failed(TargetState &state, Time now) {
-  ++state.FailuresInRow;
-  if (state.FailuresInRow < Options.EjectAfter || !mayEject(state, now))
+  ++state.ConsecutiveFailures;
+  if (state.ConsecutiveFailures < Options.EjectAfter || !mayEject(state, now))
     return;
-  Duration length = Options.EjectFor * (1 << std::min(state.Ejections, 6U));
-  state.EjectedUntil = now + std::min(length, Options.EjectForMost);
-  state.FailuresInRow = 0;
+  Duration length =
+      Options.BaseEjectionTime * (1 << std::min(state.Ejections, 6U));
+  state.EjectedUntil = now + std::min(length, Options.MaxEjectionTime);
+  state.ConsecutiveFailures = 0;
   ++state.Ejections;
   // It comes back as if it were new.
   state.FirstSeen = state.EjectedUntil;
@@ -217,7 +218,7 @@
   case RequestEnd::Answered: {
     auto micros = static_cast<double>((now - sentAt).count());
     service.MeanMicros += SampleWeight * (micros - service.MeanMicros);
-    state.FailuresInRow = 0;
+    state.ConsecutiveFailures = 0;
     state.Ejections = 0;
     // Growth by every answer, not only by those on borrowed slots: a window
     // below one lets nothing be borrowed and would stay shut for good.
@@ -226,7 +227,7 @@
     break;
   }
   case RequestEnd::Shed:
-    state.CoolUntil =
+    state.CoolDownUntil =
         now + Options.CoolDown + Duration(Random() % Options.CoolDown.count());
     service.BorrowWindow =
         std::max(service.BorrowWindow * BorrowShrink, LeastBorrowWindow);
@@ -253,22 +254,22 @@
     --it->second.Flows;
 }
 
-void Targets::heard(TargetId target, Time now) {
+void Targets::recordPacket(TargetId target, Time now) {
   auto it = States.find(target);
   if (it != States.end())
-    it->second.LastHeard = now;
+    it->second.LastPacketAt = now;
 }
 
-void Targets::draining(TargetId target, bool toldByTarget, Time now) {
+void Targets::markDraining(TargetId target, bool reportedByTarget, Time now) {
   auto it = States.find(target);
   if (it == States.end())
     return;
-  it->second.DrainingUntil = now + Options.DrainMemory;
-  if (toldByTarget)
-    it->second.DrainToldAt = now;
+  it->second.DrainingUntil = now + Options.DrainExpiry;
+  if (reportedByTarget)
+    it->second.DrainReportedAt = now;
 }
 
-void Targets::notDraining(TargetId target) {
+void Targets::clearDraining(TargetId target) {
   auto it = States.find(target);
   if (it != States.end())
     it->second.DrainingUntil = Time{};
@@ -277,7 +278,8 @@
 std::vector<TargetId> Targets::drainsToAnnounce(Time now) const {
   std::vector<TargetId> out;
   for (const auto &[id, state] : States)
-    if (state.DrainToldAt && now - *state.DrainToldAt < Options.AnnounceFor)
+    if (state.DrainReportedAt &&
+        now - *state.DrainReportedAt < Options.DrainAnnounceTime)
       out.push_back(id);
   return out;
 }
--- a/lib/daemon/Admin.cpp
+++ b/lib/daemon/Admin.cpp
@@ -42,7 +42,7 @@
                     {"zone", text(peer.Info.Zone)},
                     {"admin", text(formatAddress(peer.Info.Admin))},
                     {"state", stateName(peer.State)},
-                    {"heard", core.membership().hears(id, now)},
+                    {"heard", core.membership().isReachable(id, now)},
                     {"rule_version", static_cast<qint64>(peer.Rules.Value)}});
   return {{"id", qint64{self.Id.Value}},
           {"zone", text(self.Zone)},
--- a/lib/daemon/Daemon.cpp
+++ b/lib/daemon/Daemon.cpp
@@ -34,7 +34,7 @@
 
   // The visitor of actions.
   void operator()(const SendPacket &action);
-  void operator()(const PassOn &action);
+  void operator()(const ForwardPacket &action);
   void operator()(const SendQuery &action);
   void operator()(const SendHeartbeat &action) {
     Peers.send(action.To, action.Message);
@@ -45,7 +45,7 @@
   void operator()(const WriteMembers &action) {
     Platform.write(action.Document);
   }
-  void operator()(const Note &action) {
+  void operator()(const LogEvent &action) {
     Events.note(action.Event, action.Detail);
   }
   void operator()(const SafeToStop & /*action*/) { Done = true; }
@@ -161,7 +161,7 @@
     return started;
   Receiver.start();
   Platform.start();
-  handle(InstancesNamed{.Instances = Config.Seeds});
+  handle(InstancesDiscovered{.Instances = Config.Seeds});
   Events.note("started", formatAddress(Config.ListenPackets));
   return {};
 }
@@ -183,11 +183,11 @@
                                        : action.Datagram);
 }
 
-void Daemon::Shell::operator()(const PassOn &action) {
+void Daemon::Shell::operator()(const ForwardPacket &action) {
   const Peer *peer = Decisions.membership().find(action.To);
   if (peer == nullptr)
     return Counters.refuse(Reason::PeerUnreachable);
-  PassedOnArrived message{
+  ForwardedPacketArrived message{
       .Packet = action.Packet, .Hops = action.Hops, .Rules = action.Rules};
   Sender.add(peer->Info.Packets,
              encodePeerDatagram(message, Config.Self.Id, Key));
--- a/lib/daemon/Metrics.cpp
+++ b/lib/daemon/Metrics.cpp
@@ -67,7 +67,7 @@
                         "Packets sent to callers", core.PacketsToCallers));
   out.push_back(counter("chicory_packets_passed_on_total",
                         "Packets sent to other instances",
-                        core.PacketsPassedOn));
+                        core.PacketsForwarded));
   out.push_back(
       counter("chicory_flows_opened_total", "Flows placed", core.FlowsOpened));
   out.push_back(counter("chicory_flows_recovered_by_peer_total",
--- a/lib/daemon/PacketEdge.cpp
+++ b/lib/daemon/PacketEdge.cpp
@@ -56,7 +56,7 @@
     return Event(QueryArrived{.Message = *query});
   if (const auto *reply = std::get_if<FlowReply>(&*message))
     return Event(QueryArrived{.Message = *reply});
-  auto passedOn = std::get<PassedOnArrived>(std::move(*message));
+  auto passedOn = std::get<ForwardedPacketArrived>(std::move(*message));
   auto inner =
       decodeInFlight(std::move(passedOn.Packet.Datagram), passedOn.Packet.From);
   if (!inner)
--- a/lib/daemon/PlatformDuty.cpp
+++ b/lib/daemon/PlatformDuty.cpp
@@ -68,7 +68,7 @@
   auto instances = Reader->list(keys::Instances);
   if (!instances)
     return false;
-  InstancesNamed named;
+  InstancesDiscovered named;
   for (const KeyValue &it : *instances) {
     auto info = decodeInstance(it.Value);
     if (info)
--- a/lib/daemon/Settings.cpp
+++ b/lib/daemon/Settings.cpp
@@ -138,8 +138,8 @@
        seconds(10));
   time("suspect_after", core.Membership.SuspectAfter, milliseconds(100),
        minutes(1));
-  time("lease", core.Authority.LeaseTime, milliseconds(100), minutes(1));
-  time("lease_margin", core.Authority.LeaseMargin, milliseconds(1),
+  time("lease", core.Ownership.LeaseTime, milliseconds(100), minutes(1));
+  time("lease_margin", core.Ownership.LeaseMargin, milliseconds(1),
        seconds(10));
   time("max_request_life", core.Requests.MaxRequestLife, milliseconds(100),
        minutes(5));
@@ -158,7 +158,7 @@
   // With fewer than two heartbeats in each span one lost packet is a fault.
   if (core.Membership.SuspectAfter < core.Membership.HeartbeatInterval * 2)
     reader.fault("suspect_after", "must be at least twice heartbeat");
-  if (core.Authority.LeaseTime < core.Membership.HeartbeatInterval * 2)
+  if (core.Ownership.LeaseTime < core.Membership.HeartbeatInterval * 2)
     reader.fault("lease", "must be at least twice heartbeat");
 }
 
--- a/lib/peer/Messages.cpp
+++ b/lib/peer/Messages.cpp
@@ -113,7 +113,7 @@
           static_cast<qint64>(message.State),
           static_cast<qint64>(message.Rules.Value),
           static_cast<qint64>(message.Members.Value),
-          encodeIds(message.Hears),
+          encodeIds(message.ReachablePeers),
           encodeInfos(message.Introductions),
           encodeTargets(message.Draining),
           encodeDocument(message.Document)};
@@ -130,7 +130,7 @@
   out.State = static_cast<InstanceState>(reader.number(lastState));
   out.Rules.Value = static_cast<uint64_t>(reader.number());
   out.Members.Value = static_cast<uint64_t>(reader.number());
-  out.Hears = reader.instances();
+  out.ReachablePeers = reader.instances();
   const QCborArray introductions = reader.list();
   for (const auto &it : introductions)
     out.Introductions.push_back(readInfo(reader, it));
@@ -227,13 +227,13 @@
           .Protocol = static_cast<uint8_t>(protocol)};
 }
 
-std::optional<PassedOnArrived> readPassOn(QCborStreamReader &reader,
-                                          const QByteArray &bytes) {
+std::optional<ForwardedPacketArrived> readPassOn(QCborStreamReader &reader,
+                                                 const QByteArray &bytes) {
   std::array<uint64_t, 3> numbers{};
   if (!readNumbers(reader, numbers) || numbers[0] > UINT8_MAX)
     return std::nullopt;
-  PassedOnArrived out{.Hops = static_cast<uint8_t>(numbers[0]),
-                      .Rules = RuleVersion{numbers[1]}};
+  ForwardedPacketArrived out{.Hops = static_cast<uint8_t>(numbers[0]),
+                             .Rules = RuleVersion{numbers[1]}};
   out.Packet.From = Address::unpack(numbers[2]);
   out.Packet.Datagram = bytes.mid(reader.currentOffset());
   return out;
@@ -315,7 +315,7 @@
 
 QByteArray encodePeerDatagram(const PeerDatagram &message, InstanceId sender,
                               const PeerKey &key) {
-  auto passOn = [&](const PassedOnArrived &it) {
+  auto passOn = [&](const ForwardedPacketArrived &it) {
     std::array<uint64_t, 3> numbers = {it.Hops, it.Rules.Value,
                                        it.Packet.From.packed()};
     return writeDatagram(DatagramType::PassOn, sender, key, numbers,
@@ -368,7 +368,7 @@
   QCborStreamReader fields(rest.constData(), rest.size());
   switch (static_cast<DatagramType>(type)) {
   case DatagramType::PassOn: {
-    std::optional<PassedOnArrived> out = readPassOn(fields, rest);
+    std::optional<ForwardedPacketArrived> out = readPassOn(fields, rest);
     if (out)
       out->Sender = InstanceId{static_cast<uint32_t>(sender)};
     return orBad(std::move(out));
--- a/tests/CoreTest.cpp
+++ b/tests/CoreTest.cpp
@@ -218,7 +218,7 @@
       world.core(InstanceId{1})
           .handle(chicory::PacketArrived{.Packet = open}, world.now(), actions);
       for (const auto &it : actions)
-        if (const auto *passOn = std::get_if<chicory::PassOn>(&it))
+        if (const auto *passOn = std::get_if<chicory::ForwardPacket>(&it))
           expectEqual<uint64_t>(2, passOn->Rules.Value);
     }
     world.run(1s);
--- a/tests/FakeDeployment.cpp
+++ b/tests/FakeDeployment.cpp
@@ -40,7 +40,7 @@
   options.Incarnation = Random();
   options.Seed = Random();
   Nodes[id].Decisions = std::make_unique<Core>(options, Now);
-  InstancesNamed named;
+  InstancesDiscovered named;
   for (InstanceId it : ids())
     named.Instances.push_back(info(it));
   deliver(id, named);
@@ -155,12 +155,12 @@
       });
     else
       at(delay(), [this, content] { toCaller(content); });
-  } else if (const auto *passOn = std::get_if<PassOn>(&action)) {
+  } else if (const auto *passOn = std::get_if<ForwardPacket>(&action)) {
     if (!cutBetween(from, passOn->To))
-      deliver(passOn->To, PassedOnArrived{.Sender = from,
-                                          .Packet = passOn->Packet,
-                                          .Hops = passOn->Hops,
-                                          .Rules = passOn->Rules});
+      deliver(passOn->To, ForwardedPacketArrived{.Sender = from,
+                                                 .Packet = passOn->Packet,
+                                                 .Hops = passOn->Hops,
+                                                 .Rules = passOn->Rules});
   } else if (const auto *query = std::get_if<SendQuery>(&action)) {
     if (!cutBetween(from, query->To))
       deliver(query->To, QueryArrived{.Message = query->Message});
--- a/tests/MembershipTest.cpp
+++ b/tests/MembershipTest.cpp
@@ -40,18 +40,18 @@
   void takesTheListAsAHintOnly() {
     Membership members(info(1), 1, {});
     members.setState(InstanceState::Live);
-    members.introduce(info(2), Start);
+    members.addPeer(info(2), Start);
     expectEqual<size_t>(1, members.homes().size());
-    members.heard(from(2, 1), Start);
+    members.recordHeartbeat(from(2, 1), Start);
     expectEqual<size_t>(2, members.homes().size());
   }
 
   void dropsSilentAndRefusedPeers() {
     Membership members(info(1), 1, {.SuspectAfter = 1s});
-    members.heard(from(2, 1), Start);
-    members.heard(from(3, 1), Start);
+    members.recordHeartbeat(from(2, 1), Start);
+    members.recordHeartbeat(from(3, 1), Start);
     section("a refused connection tells at once", [&] {
-      members.refused(InstanceId{3});
+      members.recordRefusal(InstanceId{3});
       expectEqual<size_t>(1, members.homes().size());
     });
     section("silence tells after a while", [&] {
@@ -62,7 +62,7 @@
       expectEqual<size_t>(0, members.homes().size());
     });
     section("a heartbeat brings it back", [&] {
-      members.heard(from(3, 2), Start + 1200ms);
+      members.recordHeartbeat(from(3, 2), Start + 1200ms);
       expectEqual<size_t>(1, members.homes().size());
     });
   }
@@ -72,7 +72,7 @@
   // Cause: it takes everyone for dead and itself for everyone's home.
   void doesNotBlamePeersForItsOwnPause() {
     Membership members(info(1), 1, {.SuspectAfter = 1s});
-    members.heard(from(2, 1), Start);
+    members.recordHeartbeat(from(2, 1), Start);
     members.update(Start + 10ms);
     members.update(Start + 30s);
     expectEqual<size_t>(1, members.homes().size());
@@ -80,35 +80,36 @@
 
   void keepsLeavingPeersForQuestions() {
     Membership members(info(1), 1, {});
-    members.heard(from(2, 1, InstanceState::Leaving), Start);
+    members.recordHeartbeat(from(2, 1, InstanceState::Leaving), Start);
     expectEqual<size_t>(0, members.homes().size());
-    expectEqual<size_t>(1, members.leaving().size());
+    expectEqual<size_t>(1, members.leavingPeers().size());
   }
 
   void ignoresOldHeartbeats() {
     Membership members(info(1), 1, {});
-    expectTrue(members.heard(from(2, 5), Start), "the first");
-    expectTrue(!members.heard(from(2, 4), Start), "an older one");
+    expectTrue(members.recordHeartbeat(from(2, 5), Start), "the first");
+    expectTrue(!members.recordHeartbeat(from(2, 4), Start), "an older one");
     Heartbeat restarted = from(2, 1);
     restarted.Incarnation = 2;
-    expectTrue(members.heard(restarted, Start), "one of a new process");
+    expectTrue(members.recordHeartbeat(restarted, Start),
+               "one of a new process");
     Heartbeat stranger{.Sender = {.Id = InstanceId{9}}, .Sequence = 1};
-    expectTrue(!members.heard(stranger, Start),
+    expectTrue(!members.recordHeartbeat(stranger, Start),
                "one without addresses from a peer that is not known");
   }
 
   void confirmsSilenceThroughOthers() {
     Membership members(info(1), 1, {.SuspectAfter = 1s});
-    members.heard(from(3, 1), Start);
+    members.recordHeartbeat(from(3, 1), Start);
     Heartbeat other = from(2, 1);
-    other.Hears = {InstanceId{3}};
-    members.heard(other, Start + 3s);
-    expectTrue(!members.confirmedSilent(InstanceId{3}, Start + 3s),
+    other.ReachablePeers = {InstanceId{3}};
+    members.recordHeartbeat(other, Start + 3s);
+    expectTrue(!members.isConfirmedUnreachable(InstanceId{3}, Start + 3s),
                "instance 2 still hears it");
     other.Sequence = 2;
-    other.Hears = {};
-    members.heard(other, Start + 3s);
-    expectTrue(members.confirmedSilent(InstanceId{3}, Start + 3s),
+    other.ReachablePeers = {};
+    members.recordHeartbeat(other, Start + 3s);
+    expectTrue(members.isConfirmedUnreachable(InstanceId{3}, Start + 3s),
                "nobody does");
   }
 
--- a/tests/MessagesTest.cpp
+++ b/tests/MessagesTest.cpp
@@ -27,7 +27,7 @@
           .State = InstanceState::Leaving,
           .Rules = RuleVersion{8},
           .Members = MembersVersion{9},
-          .Hears = {InstanceId{1}, InstanceId{2}},
+          .ReachablePeers = {InstanceId{1}, InstanceId{2}},
           .Introductions = {info()},
           .Draining = {samples::target(4)},
           .Document = {.Version = MembersVersion{9},
@@ -35,8 +35,8 @@
                        .Previous = {InstanceId{2}}}};
 }
 
-PassedOnArrived passedOn() {
-  PassedOnArrived out{
+ForwardedPacketArrived passedOn() {
+  ForwardedPacketArrived out{
       .Sender = InstanceId{4}, .Hops = 2, .Rules = RuleVersion{77}};
   out.Packet.From = samples::target(1);
   out.Packet.Datagram =
@@ -70,10 +70,10 @@
 
   void readsBackDatagrams() {
     section("a passed-on packet", [] {
-      PassedOnArrived sent = passedOn();
+      ForwardedPacketArrived sent = passedOn();
       auto read =
           decodePeerDatagram(encodePeerDatagram(sent, InstanceId{4}, Key), Key);
-      const auto &got = std::get<PassedOnArrived>(*read);
+      const auto &got = std::get<ForwardedPacketArrived>(*read);
       expectTrue(got.Sender == sent.Sender && got.Hops == 2 &&
                      got.Rules == sent.Rules &&
                      got.Packet.From == sent.Packet.From &&
--- a/tests/AuthorityTest.cpp
+++ b/tests/OwnershipTrackerTest.cpp
@@ -1,6 +1,6 @@
 // Ownership: one owner at a time, whatever each instance has heard.
 
-#include "chicorybank/core/Authority.h"
+#include "chicorybank/core/OwnershipTracker.h"
 #include "chicorybank/core/Rendezvous.h"
 
 #include "Story.h"
@@ -9,10 +9,10 @@
 
 using namespace story;
 using namespace std::chrono_literals;
-using chicory::Authority;
 using chicory::InstanceId;
 using chicory::MembersDocument;
 using chicory::MembersVersion;
+using chicory::OwnershipTracker;
 using chicory::OwnershipView;
 using chicory::Time;
 
@@ -49,8 +49,8 @@
 
 } // namespace
 
-class AuthorityTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(AuthorityTest);
+class OwnershipTrackerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(OwnershipTrackerTest);
   CPPUNIT_TEST(ownsNothingWithoutADocument);
   CPPUNIT_TEST(holdsALeaseByAMajority);
   CPPUNIT_TEST(losesItsLeaseInSilence);
@@ -62,30 +62,33 @@
   CPPUNIT_TEST_SUITE_END();
 
   void ownsNothingWithoutADocument() {
-    Authority authority(InstanceId{1}, Start, {});
-    expectTrue(authority.view(5, Start).Owner != InstanceId{1},
+    OwnershipTracker authority(InstanceId{1}, Start, {});
+    expectTrue(authority.ownershipOf(5, Start).Owner != InstanceId{1},
                "nobody owns a flow");
     expectTrue(!authority.holdsLease(Start), "there is no lease");
   }
 
   void holdsALeaseByAMajority() {
-    Authority authority(InstanceId{1}, Start, {});
+    OwnershipTracker authority(InstanceId{1}, Start, {});
     authority.learn(document(1, ids({1, 2, 3, 4, 5})), Start);
     section("one word of four others is too few", [&] {
-      authority.heard(InstanceId{2}, MembersVersion{1}, Start, Start + 1ms);
+      authority.recordHeartbeat(InstanceId{2}, MembersVersion{1}, Start,
+                                Start + 1ms);
       expectTrue(!authority.holdsLease(Start + 2ms), "no lease yet");
     });
     section("two make three of five", [&] {
-      authority.heard(InstanceId{3}, MembersVersion{1}, Start, Start + 1ms);
+      authority.recordHeartbeat(InstanceId{3}, MembersVersion{1}, Start,
+                                Start + 1ms);
       expectTrue(authority.holdsLease(Start + 2ms), "a lease");
     });
   }
 
   void losesItsLeaseInSilence() {
-    Authority authority(InstanceId{1}, Start, {.LeaseTime = 2s});
+    OwnershipTracker authority(InstanceId{1}, Start, {.LeaseTime = 2s});
     authority.learn(document(1, ids({1, 2, 3})), Start);
     // The word counts from when it was asked for, not from when it came.
-    authority.heard(InstanceId{2}, MembersVersion{1}, Start + 1s, Start + 2s);
+    authority.recordHeartbeat(InstanceId{2}, MembersVersion{1}, Start + 1s,
+                              Start + 2s);
     expectTrue(authority.holdsLease(Start + 2999ms), "until 2 s after asking");
     expectTrue(!authority.holdsLease(Start + 3s), "and not longer");
   }
@@ -100,25 +103,26 @@
     uint64_t hash = hashOwnedBy(InstanceId{3}, before, [&](uint64_t n) {
       return chicory::rendezvousFirst(n, after) == InstanceId{1};
     });
-    Authority authority(InstanceId{1}, Start,
-                        {.LeaseTime = 2s, .LeaseMargin = 200ms});
+    OwnershipTracker authority(InstanceId{1}, Start,
+                               {.LeaseTime = 2s, .LeaseMargin = 200ms});
     authority.learn(document(1, before), Start);
     authority.learn(document(2, after, before), Start + 10s);
     section("nobody else has moved on", [&] {
-      expectTrue(!authority.view(hash, Start + 60s).Settled, "it waits");
-      expectTrue(!authority.previousRetired(Start + 60s),
+      expectTrue(!authority.ownershipOf(hash, Start + 60s).HandOverComplete,
+                 "it waits");
+      expectTrue(!authority.isPreviousDocumentRetired(Start + 60s),
                  "nor may a third document be written");
     });
     section("a majority has moved on", [&] {
-      authority.heard(InstanceId{2}, MembersVersion{2}, Start + 61s,
-                      Start + 61s);
-      expectTrue(!authority.view(hash, Start + 63s).Settled,
+      authority.recordHeartbeat(InstanceId{2}, MembersVersion{2}, Start + 61s,
+                                Start + 61s);
+      expectTrue(!authority.ownershipOf(hash, Start + 63s).HandOverComplete,
                  "the lease of the old owner may still run");
-      OwnershipView view = authority.view(hash, Start + 64s);
-      expectTrue(view.Settled, "now it can't");
+      OwnershipView view = authority.ownershipOf(hash, Start + 64s);
+      expectTrue(view.HandOverComplete, "now it can't");
       expectTrue(view.OwnedSince == Start + 63s + 200ms,
                  "the tenure begins when the lease must have ended");
-      expectTrue(authority.previousRetired(Start + 64s),
+      expectTrue(authority.isPreviousDocumentRetired(Start + 64s),
                  "a third document may be written");
     });
   }
@@ -128,25 +132,27 @@
     std::vector<InstanceId> after = ids({1, 2, 3});
     uint64_t hash = hashOwnedBy(InstanceId{1}, after);
     InstanceId old = chicory::rendezvousFirst(hash, before);
-    Authority authority(InstanceId{1}, Start, {});
+    OwnershipTracker authority(InstanceId{1}, Start, {});
     authority.learn(document(7, after, before), Start);
-    authority.heard(old, MembersVersion{7}, std::nullopt, Start + 50ms);
-    OwnershipView view = authority.view(hash, Start + 50ms);
-    expectTrue(view.Settled, "the old owner has said so itself");
+    authority.recordHeartbeat(old, MembersVersion{7}, std::nullopt,
+                              Start + 50ms);
+    OwnershipView view = authority.ownershipOf(hash, Start + 50ms);
+    expectTrue(view.HandOverComplete, "the old owner has said so itself");
     expectTrue(view.PreviousOwner == old, "it can be asked");
   }
 
   void ignoresOlderDocuments() {
-    Authority authority(InstanceId{1}, Start, {});
+    OwnershipTracker authority(InstanceId{1}, Start, {});
     expectTrue(authority.learn(document(5, ids({1})), Start), "newer");
     expectTrue(!authority.learn(document(4, ids({2})), Start), "older");
     expectTrue(!authority.learn(document(5, ids({2})), Start), "the same");
   }
 
   void carriesItsLeaseIntoTheNextDocument() {
-    Authority authority(InstanceId{1}, Start, {.LeaseTime = 2s});
+    OwnershipTracker authority(InstanceId{1}, Start, {.LeaseTime = 2s});
     authority.learn(document(1, ids({1, 2, 3})), Start);
-    authority.heard(InstanceId{2}, MembersVersion{1}, Start, Start + 1ms);
+    authority.recordHeartbeat(InstanceId{2}, MembersVersion{1}, Start,
+                              Start + 1ms);
     authority.learn(document(2, ids({1, 2, 3, 4}), ids({1, 2, 3})), Start + 1s);
     expectTrue(authority.holdsLease(Start + 1900ms), "its rest");
     expectTrue(!authority.holdsLease(Start + 2s), "and no more than that");
@@ -156,15 +162,16 @@
     std::vector<InstanceId> before = ids({1, 2});
     std::vector<InstanceId> after = ids({2, 3});
     uint64_t hash = hashOwnedBy(InstanceId{1}, before);
-    Authority authority(InstanceId{1}, Start, {});
+    OwnershipTracker authority(InstanceId{1}, Start, {});
     authority.learn(document(1, before), Start);
-    expectTrue(!authority.formerTenure(hash, Start).has_value(),
+    expectTrue(!authority.formerOwnership(hash, Start).has_value(),
                "while it owns the flow there is no former tenure");
     authority.learn(document(2, after, before), Start + 1s);
-    auto tenure = authority.formerTenure(hash, Start + 1s);
-    expectTrue(tenure.has_value() && tenure->Settled, "it owned the flow");
+    auto tenure = authority.formerOwnership(hash, Start + 1s);
+    expectTrue(tenure.has_value() && tenure->HandOverComplete,
+               "it owned the flow");
     expectTrue(tenure->OwnedSince == Start, "since its start");
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(AuthorityTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(OwnershipTrackerTest);
--- a/tests/TargetsTest.cpp
+++ b/tests/TargetsTest.cpp
@@ -40,7 +40,7 @@
       for (InstanceId it : instances(count)) {
         Targets book(it, 1, {});
         book.learn(*rules, Start);
-        book.dealSlots(*rules, instances(count));
+        book.assignSlots(*rules, instances(count));
         uint32_t total = 0;
         for (const auto &[id, state] : book.all()) {
           sum[id] += state.Share;
@@ -69,7 +69,7 @@
     const Service &service = rules->set().Services[0];
     Targets book(InstanceId{1}, 1, {});
     book.learn(*rules, Start);
-    book.dealSlots(*rules, instances(7));
+    book.assignSlots(*rules, instances(7));
     uint32_t share = book.shareOf(service);
     expectTrue(share >= 4 && share <= 5, "30 slots over 7 instances");
     expectEqual<size_t>(share + 1, fill(book, service));
@@ -80,7 +80,7 @@
     const Service &service = rules->set().Services[0];
     Targets book(InstanceId{1}, 1, {});
     book.learn(*rules, Start);
-    book.dealSlots(*rules, instances(7));
+    book.assignSlots(*rules, instances(7));
     TargetId target = *book.chooseForRequest(service, {}, Start);
     book.requestSent(target);
     book.requestEnded(target, RequestEnd::Shed, Start, Start);
@@ -108,10 +108,10 @@
     auto rules = samples::compiled(samples::ruleSet(1));
     Targets book(InstanceId{1}, 1, {});
     book.learn(*rules, Start);
-    book.dealSlots(*rules, instances(1));
+    book.assignSlots(*rules, instances(1));
     const Service &service = rules->set().Services[1];
     for (uint32_t n = 51; n < 54; ++n)
-      book.draining(samples::target(n), n == 51, Start);
+      book.markDraining(samples::target(n), n == 51, Start);
     for (uint64_t hash = 1; hash < 100; ++hash)
       expectTrue(*book.chooseForFlow(service, hash, 1, Start) ==
                      samples::target(50),
