--- a/bench/EdgeBench.cpp
+++ b/bench/EdgeBench.cpp
@@ -141,7 +141,7 @@
   report("list_us, by servers", servers, whole / 1000);
   report("item_bytes, by servers", servers,
          (residentBytes() - before) / static_cast<double>(servers));
-  edge::NewsPush push{.Base = {.Revision = 1}};
+  edge::UpdatePush push{.Base = {.Revision = 1}};
   push.Page.Items.assign(3, registrations(1).Items[0]);
   std::string bytes = edge::encodePush(push);
   report("push_bytes, 3 changes", servers, static_cast<double>(bytes.size()));
--- a/include/chicorybank/edge/DirectoryWriter.h
+++ b/include/chicorybank/edge/DirectoryWriter.h
@@ -3,7 +3,7 @@
 #ifndef CHICORYBANK_EDGE_DIRECTORYWRITER_H
 #define CHICORYBANK_EDGE_DIRECTORYWRITER_H
 
-#include "chicorybank/edge/WriteTurn.h"
+#include "chicorybank/edge/StaggeredWrite.h"
 
 #include <optional>
 #include <set>
@@ -23,24 +23,26 @@
   /// A part with more registrations is not written, and those that start list:
   /// as base64 it has to fit into the megabyte of an item, even where each
   /// takes 15 bytes.
-  static constexpr size_t MostServers = 50'000;
+  static constexpr size_t MaxServers = 50'000;
   /// A transaction has room for so many parts and the note.
-  static constexpr size_t MostParts = 31;
+  static constexpr size_t MaxParts = 31;
 
   explicit DirectoryWriter(const RegistryDialect &dialect) : Dialect(dialect) {}
 
   /// The copy here, and what the registry says of the stored directory.
   void learn(const Mirror &copy, const DirectoryNote &stored, Time now);
 
-  /// The call that is due, if any. `patience`: of this instance with news.
-  /// Call it only while the news is current.
-  std::optional<RegistryCall> next(const Mirror &copy, Duration patience,
+  /// The call that is due, if any. `stalenessLimit`: of this instance with
+  /// news. Call it only while the news is current.
+  std::optional<RegistryCall> next(const Mirror &copy, Duration stalenessLimit,
                                    Time now);
   void answered(const NewsAnswer &answer, Time now) {
     Turn.answered(answer, now);
   }
   /// When `next` may have something to send.
-  Time nextAt(Duration patience) const { return Turn.at(patience); }
+  Time nextAt(Duration stalenessLimit) const {
+    return Turn.dueAt(stalenessLimit);
+  }
 
   const WriteStats &stats() const { return Turn.stats(); }
 
@@ -49,7 +51,7 @@
   DirectoryNote Stored;
   /// The zones whose parts are not as the copy has them.
   std::set<std::string> Changed;
-  WriteTurn Turn;
+  StaggeredWrite Turn;
 };
 
 } // namespace chicory::edge
--- a/include/chicorybank/edge/FragmentAssembler.h
+++ b/include/chicorybank/edge/FragmentAssembler.h
@@ -21,10 +21,10 @@
 public:
   /// Senders whose messages may be unfinished at a time. News comes from one
   /// parent in the tree and a few heads of zones; more are stray.
-  static constexpr size_t MostSenders = 16;
+  static constexpr size_t MaxSenders = 16;
 
   /// Takes a piece. Returns the message's bytes once all of them are there.
-  std::optional<std::string> take(Fragment fragment);
+  std::optional<std::string> add(Fragment fragment);
 
 private:
   struct Unfinished {
--- a/include/chicorybank/edge/Announcer.h
+++ b/include/chicorybank/edge/InstanceRegistrar.h
@@ -10,32 +10,32 @@
 // registry takes the record away. Renewals say so (404), and the record that
 // is missing from the copy shows it.
 
-#ifndef CHICORYBANK_EDGE_ANNOUNCER_H
-#define CHICORYBANK_EDGE_ANNOUNCER_H
+#ifndef CHICORYBANK_EDGE_INSTANCEREGISTRAR_H
+#define CHICORYBANK_EDGE_INSTANCEREGISTRAR_H
 
 #include "chicorybank/edge/NewsReader.h"
 
 namespace chicory::edge {
 
 /// Times of an announcer.
-struct AnnouncerTimes {
+struct RegistrarTimes {
   /// A dead instance stays in the others' order for this long at most.
   /// Meanwhile those to whom it would pass news on ask by themselves, a call
   /// each in two seconds.
-  Duration LeaseLife = std::chrono::seconds(12);
+  Duration LeaseDuration = std::chrono::seconds(12);
   /// Three tries may be lost. Renewals are the calls that an instance at rest
   /// makes: of 295 they are 7 full calls a second.
-  Duration RenewEvery = std::chrono::milliseconds(4500);
+  Duration RenewInterval = std::chrono::milliseconds(4500);
   Duration RetryAfter = std::chrono::milliseconds(1500);
   /// A record that was written is in the copy after this time at the latest.
-  Duration SeenWithin = std::chrono::seconds(4);
+  Duration VisibleWithin = std::chrono::seconds(4);
 };
 
 /// The state machine; it does no I/O. One call is under way at a time.
-class Announcer {
+class InstanceRegistrar {
 public:
-  Announcer(const RegistryDialect &dialect, PeerRecord self,
-            AnnouncerTimes times)
+  InstanceRegistrar(const RegistryDialect &dialect, PeerRecord self,
+                    RegistrarTimes times)
       : Dialect(dialect), Self(std::move(self)), Times(times) {}
 
   /// The call that is due, if any.
@@ -44,16 +44,16 @@
   void answered(const NewsAnswer &answer, Time now);
   /// The copy has this record of ours, or none (null). It holds everything up
   /// to `asOf`: where news is late, a record that was written is not yet in it.
-  void seen(const PeerRecord *own, Time asOf);
+  void checkRecord(const PeerRecord *own, Time asOf);
   /// The registry was restored from a copy. The lease may be gone, or its
   /// number given to another one, so the record is looked up again when its
   /// renewal is due; renewals of a large deployment are spread over time.
   void registryRestored() { LookAgain = true; }
   /// Marks the record as that of an instance that leaves; nothing follows, and
   /// the record goes with its lease. While it stands, neighbours that start
-  /// learn who may be back soon (`Reminders.h`): in a rolling restart none of
-  /// those that stay need have seen the one that is away.
-  std::optional<RegistryCall> end();
+  /// learn who may be back soon (`OutageGossip.h`): in a rolling restart none
+  /// of those that stay need have seen the one that is away.
+  std::optional<RegistryCall> leave();
 
 private:
   enum class Phase : uint8_t { Looking, Leasing, Writing, Renewing };
@@ -62,7 +62,7 @@
 
   const RegistryDialect &Dialect;
   PeerRecord Self;
-  AnnouncerTimes Times;
+  RegistrarTimes Times;
   Phase State = Phase::Looking;
   bool Waiting = false;
   bool LookAgain = false;
--- a/include/chicorybank/edge/NewsReader.h
+++ b/include/chicorybank/edge/NewsReader.h
@@ -3,7 +3,7 @@
 // It reads what a start needs (`StartSequence.h`), then lists everything once;
 // after that one instance of the deployment watches
 // and pushes what it hears, and the others ask only when their news grows older
-// than their patience (`NewsSpread.h`). Each answer shows that the news is
+// than their patience (`PropagationTree.h`). Each answer shows that the news is
 // current as of some moment; silence shows nothing:
 //
 // - an answer without changes shows that there were none, but only if the
@@ -121,7 +121,7 @@
 
   /// How old news may grow before this instance asks by itself, and how far it
   /// backs off while the registry fails. Both grow with the place in line.
-  void setPatience(Duration patience, Duration retryMost);
+  void setStalenessLimit(Duration stalenessLimit, Duration retryMax);
 
   /// The call that is due, if any. It counts as sent.
   std::optional<NewsCall> next(Time now);
@@ -135,7 +135,7 @@
   /// does not show that the news is current. Returns true where the changes
   /// have to be read from the sender; what is read is then as current as the
   /// push was.
-  bool takePush(const NewsPush &push, bool late, Time now,
+  bool takePush(const UpdatePush &push, bool late, Time now,
                 std::vector<token::Event> &out);
   /// What is known may be passed on to other instances.
   bool mayPassOn() const { return !Unproven; }
@@ -153,12 +153,12 @@
   /// The registry did not answer since the start, and a sender knows more. A
   /// sender with stale news shows that the registry is away as well as a call
   /// that failed, and earlier.
-  bool needsSeed(const NewsPush &push) const {
+  bool needsSeed(const UpdatePush &push) const {
     bool failing = Stats.Failures != 0 || push.Age > Times.AwayAfter;
     return !Complete && failing && push.Page.At > Copy.position();
   }
   /// A push with the changes behind a revision.
-  NewsPush push(InstanceId self, Position since, Time now) const;
+  UpdatePush push(InstanceId self, Position since, Time now) const;
   /// The process or its machine stood still: what it believes may be old.
   void doubtAll(Time now);
 
@@ -166,7 +166,7 @@
   Findings takeFindings() { return std::exchange(Faults, {}); }
   const std::map<InstanceId, PeerRecord> &peers() const { return Peers; }
   /// What is recorded of routes, by part.
-  const RouteRecords &routeRecords() const { return Recorded; }
+  const RouteHistoryParts &routeHistory() const { return Recorded; }
   /// What is known of the directory that the registry holds.
   const DirectoryNote &directoryNote() const { return StoredDirectory; }
   /// What a start needs was read.
@@ -211,16 +211,16 @@
   bool firstListIsAhead() const {
     return !Complete && State == Phase::Listing && !Waiting && After.empty();
   }
-  bool replacesFirstList(const NewsPush &push) const;
-  bool mustRead(const NewsPush &push) const;
+  bool replacesFirstList(const UpdatePush &push) const;
+  bool mustRead(const UpdatePush &push) const;
   void compare(bool differs, Time now);
   /// The push shows that the list which is due would find nothing.
-  bool settles(const NewsPush &push) const;
+  bool settles(const UpdatePush &push) const;
   bool pageIsNext() const {
     return State == Phase::Listing || (Reviewing && !AskNow && PageTurn);
   }
   /// This instance is the one that watches.
-  bool watches() const { return Patience <= Times.Pace; }
+  bool watches() const { return StalenessLimit <= Times.Pace; }
 
   void noteGeneration(const NewsAnswer &answer);
   /// Without a header, the generation that was told last.
@@ -253,7 +253,7 @@
   bool PageTurn = false;
   /// What was asked last.
   bool AskedForPage = false;
-  Duration Patience;
+  Duration StalenessLimit;
   Duration RetryMost;
   Duration Retry;
   /// There are changes that nobody else could give.
@@ -272,7 +272,7 @@
   /// The copy's position then.
   Position CopyAtListStart;
   std::map<InstanceId, PeerRecord> Peers;
-  RouteRecords Recorded;
+  RouteHistoryParts Recorded;
   DirectoryNote StoredDirectory;
   /// The latest generation that the registry has told.
   std::optional<Generation> Told;
--- a/include/chicorybank/edge/Reminders.h
+++ b/include/chicorybank/edge/OutageGossip.h
@@ -13,8 +13,8 @@
 // all, or all told the heads of zones, a fleet whose registry is away would do
 // nothing else; one sees `pushes` in `status` lines rise by hundreds a second.
 
-#ifndef CHICORYBANK_EDGE_REMINDERS_H
-#define CHICORYBANK_EDGE_REMINDERS_H
+#ifndef CHICORYBANK_EDGE_OUTAGEGOSSIP_H
+#define CHICORYBANK_EDGE_OUTAGEGOSSIP_H
 
 #include "chicorybank/edge/Registry.h"
 
@@ -24,45 +24,45 @@
 namespace chicory::edge {
 
 /// Remembers who has left, and when others are next told.
-class Reminders {
+class OutageGossip {
 public:
   /// Registered instances are told about at the pace of other news: one of them
   /// may have been killed and be back.
-  static constexpr Duration Every = std::chrono::milliseconds(700);
+  static constexpr Duration Interval = std::chrono::milliseconds(700);
   /// Those that have left are few, and each may start at any moment; its
   /// packets wait for 200 ms before they are dropped. The news of all
   /// neighbours goes stale at the same moment, so they don't fill each other's
   /// gaps.
-  static constexpr Duration FormerEvery = std::chrono::milliseconds(200);
+  static constexpr Duration FormerInterval = std::chrono::milliseconds(200);
   /// An instance that left may be back at its address, as in a rolling restart.
-  static constexpr Duration FormerFor = std::chrono::seconds(30);
+  static constexpr Duration FormerRetention = std::chrono::seconds(30);
   /// One whose record lapsed keeps its place in the order for this long: a
   /// registry that turns it away for as long as a lease lives is no exception.
-  static constexpr Duration PlaceKeptFor = std::chrono::seconds(12);
+  static constexpr Duration LapsedRetention = std::chrono::seconds(12);
 
   /// So many in its zone tell an instance at a time, in the mean. Where half of
   /// them have died with it, it hears of one at the first or second time.
-  static constexpr double ToldByNeighbours = 4;
+  static constexpr double SendersInZone = 4;
   /// And so many elsewhere, in case its whole zone has died.
-  static constexpr double ToldByOthers = 1;
+  static constexpr double SendersElsewhere = 1;
 
   /// For an instance in this zone.
-  Reminders(InstanceId self, std::string zone)
+  OutageGossip(InstanceId self, std::string zone)
       : Self(self), Zone(std::move(zone)) {}
 
   /// The registered instances are now these.
   void learn(const std::map<InstanceId, PeerRecord> &peers, Time now);
   /// Registered instances to be told now.
-  std::vector<Address> due(bool away, Time now);
+  std::vector<Address> dueRegistered(bool away, Time now);
   /// Instances to be told now that have left, or are leaving, and may be back.
   std::vector<Address> dueFormer(bool away, Time now);
   /// When either is due while the registry is away.
   Time nextAt(bool away) const;
-  const std::map<InstanceId, PeerRecord> &known() const { return Known; }
+  const std::map<InstanceId, PeerRecord> &registered() const { return Known; }
   /// Those that have a place in the order: the registered ones, and those whose
   /// records have lapsed. Most of them live, and the registry turns them away:
   /// without a place nobody would tell them anything, just when they can't ask.
-  std::map<InstanceId, PeerRecord> placed(Time now) const;
+  std::map<InstanceId, PeerRecord> treeMembers(Time now) const;
 
 private:
   struct Left {
--- a/include/chicorybank/edge/PeerMessages.h
+++ b/include/chicorybank/edge/PeerMessages.h
@@ -20,7 +20,7 @@
 namespace chicory::edge {
 
 /// One instance tells others what it knows, and how new that is.
-struct NewsPush {
+struct UpdatePush {
   InstanceId Sender;
   /// Since the registry was last asked, by whoever asked it.
   Duration Age = Duration::zero();
@@ -44,15 +44,15 @@
 };
 
 /// The sender can't reach a backend server.
-struct Doubt {
+struct UnreachableReport {
   InstanceId Sender;
   token::BackendId Backend;
 };
 
-using PeerMessage = std::variant<NewsPush, Fragment, Doubt>;
+using PeerMessage = std::variant<UpdatePush, Fragment, UnreachableReport>;
 
 /// A message that fits into this many bytes is one datagram on any link.
-inline constexpr size_t MaxPeerMessage = 1200;
+inline constexpr size_t MaxDatagramBytes = 1200;
 /// Bytes of a push in one fragment; the rest of the datagram is its head.
 inline constexpr size_t FragmentBytes = 1150;
 /// A push of more pieces is read over TCP: the loss of any piece loses it all.
@@ -61,7 +61,7 @@
 /// is read over TCP as well. They leave at once, and a link drops what it has
 /// no room for: 30 ms of a link of 20 Mbit/s. Then all receivers lack the last
 /// pieces, and nobody hears that there is news.
-inline constexpr size_t MaxBurst = 64;
+inline constexpr size_t MaxBurstDatagrams = 64;
 /// A push that is larger before it is compressed is read over TCP as well.
 inline constexpr size_t MaxPushBytes = 512 << 10;
 /// A page that is larger before it is compressed is refused. 20,000
@@ -70,21 +70,21 @@
 
 /// Encodes a push. Leaves the items out where they would make it larger than
 /// `most`.
-std::string encodePush(const NewsPush &push, size_t most = MaxPeerMessage);
-tl::expected<NewsPush, Reason> decodePush(std::span<const char> bytes);
+std::string encodePush(const UpdatePush &push, size_t most = MaxDatagramBytes);
+tl::expected<UpdatePush, Reason> decodePush(std::span<const char> bytes);
 
 /// Encodes a push as one datagram or several, for so many receivers. `message`
 /// tells the sender's messages apart.
-std::vector<std::string> encodeDatagrams(const NewsPush &push, uint64_t message,
-                                         size_t receivers);
+std::vector<std::string> encodeDatagrams(const UpdatePush &push,
+                                         uint64_t message, size_t receivers);
 /// Reads the bytes of all fragments of a push.
-tl::expected<NewsPush, Reason> decodeFragments(std::span<const char> bytes);
+tl::expected<UpdatePush, Reason> decodeFragments(std::span<const char> bytes);
 
 /// Encodes what an instance reads from another one over TCP.
 std::string encodePage(const ItemPage &page);
 tl::expected<ItemPage, Reason> decodePage(std::span<const char> bytes);
 
-std::string encodeDoubt(const Doubt &doubt);
+std::string encodeUnreachableReport(const UnreachableReport &doubt);
 tl::expected<PeerMessage, Reason> decodeDatagram(std::span<const char> bytes);
 
 } // namespace chicory::edge
--- a/include/chicorybank/edge/NewsSpread.h
+++ b/include/chicorybank/edge/PropagationTree.h
@@ -22,8 +22,8 @@
 // behind the one that died, however many they are. Two instances that disagree
 // about the order only cost a call or a datagram more.
 
-#ifndef CHICORYBANK_EDGE_NEWSSPREAD_H
-#define CHICORYBANK_EDGE_NEWSSPREAD_H
+#ifndef CHICORYBANK_EDGE_PROPAGATIONTREE_H
+#define CHICORYBANK_EDGE_PROPAGATIONTREE_H
 
 #include "chicorybank/edge/NewsReader.h"
 
@@ -33,32 +33,32 @@
 namespace chicory::edge {
 
 /// How an instance takes part.
-struct SpreadOptions {
+struct PropagationOptions {
   InstanceId Self;
   std::string Zone;
   Duration Pace = std::chrono::milliseconds(500);
   /// News has to be in force everywhere within this time.
   Duration ApplyWithin = std::chrono::seconds(3);
-  Duration RetryMost = std::chrono::milliseconds(800);
+  Duration RetryMax = std::chrono::milliseconds(800);
   uint64_t Seed = 1;
 };
 
 /// The order and what follows from it.
-class NewsSpread {
+class PropagationTree {
 public:
   /// Each instance passes news on to this many in its zone: 900 instances are
   /// reached in four steps, with 16 datagrams a second from each.
   static constexpr size_t FanOut = 8;
   /// In another zone the news goes to this many, in case the first is gone.
-  static constexpr size_t HeadsOfOtherZone = 2;
+  static constexpr size_t HeadsPerOtherZone = 2;
 
-  explicit NewsSpread(SpreadOptions options);
+  explicit PropagationTree(PropagationOptions options);
 
   /// The registered instances changed. Those that leave have no place.
   void learn(const std::map<InstanceId, PeerRecord> &peers);
 
-  Duration patience() const { return Patience; }
-  Duration retryMost() const { return RetryMost; }
+  Duration stalenessLimit() const { return StalenessLimit; }
+  Duration retryMax() const { return RetryMax; }
   /// Whom to tell. `asked`: this instance got the news from the registry, not
   /// from another instance.
   std::vector<Address> targets(bool asked) const;
@@ -66,14 +66,14 @@
 private:
   struct Place;
 
-  void setPatience(size_t zoneRank, size_t rank);
+  void setStalenessLimit(size_t zoneRank, size_t rank);
   void append(const std::vector<Place> &places, size_t first,
               std::vector<Address> &out) const;
   double share() const;
 
-  SpreadOptions Options;
-  Duration Patience;
-  Duration RetryMost;
+  PropagationOptions Options;
+  Duration StalenessLimit;
+  Duration RetryMax;
   /// Its own record has been seen.
   bool Placed = false;
   std::vector<Address> Children;
--- a/include/chicorybank/edge/Registry.h
+++ b/include/chicorybank/edge/Registry.h
@@ -97,20 +97,20 @@
 /// The record of what routes lead to and have led to is kept in so many items
 /// at most: a change rewrites one of them, which is some 12 kB at 5,700
 /// addresses. A transaction has room for this many with their conditions.
-inline constexpr uint32_t RouteRecordParts = 16;
+inline constexpr uint32_t MaxRouteHistoryParts = 16;
 
-/// One part of that record (`RouteLedger.h`).
-struct RouteRecord {
+/// One part of that record (`RouteHistory.h`).
+struct RouteHistoryPart {
   uint32_t Part = 0;
   std::vector<token::RoutePair> Pairs;
   /// Where the item was written; revision zero where there is none.
   Position At;
 
-  bool operator==(const RouteRecord &) const = default;
+  bool operator==(const RouteHistoryPart &) const = default;
 };
 
 /// The parts that the registry holds, by number.
-using RouteRecords = std::map<uint32_t, RouteRecord>;
+using RouteHistoryParts = std::map<uint32_t, RouteHistoryPart>;
 
 /// Checksums by availability zone; zero for one that is not named.
 using ZoneDigests = std::map<std::string, uint64_t>;
@@ -137,21 +137,21 @@
 /// What one item says; `monostate` for items that don't concern an instance.
 using News = std::variant<std::monostate, token::RouteSet, token::Registration,
                           RegistrationEnded, RegistrationUnreadable, PeerRecord,
-                          RouteRecord, DirectoryNote, ZoneDrain>;
+                          RouteHistoryPart, DirectoryNote, ZoneDrain>;
 
 /// What a call is for. Each costs the registry something of its own, so they
 /// are counted apart.
 enum class CallKind : uint8_t {
-  List,        ///< A page of everything.
-  Watch,       ///< Changes behind a revision.
-  Lease,       ///< Creates or ends a lease.
-  Renewal,     ///< Renews a lease.
-  Announce,    ///< Writes this instance's record.
-  RouteRecord, ///< Writes the record of routes.
-  Orders,      ///< Reads what the operators have written, and nothing else.
-  Directory,   ///< Reads the directory of registrations.
-  PastRoutes,  ///< Reads the record of routes alone.
-  OwnRecord,   ///< Reads this instance's record.
+  List,              ///< A page of everything.
+  Watch,             ///< Changes behind a revision.
+  Lease,             ///< Creates or ends a lease.
+  Renewal,           ///< Renews a lease.
+  Announce,          ///< Writes this instance's record.
+  WriteRouteHistory, ///< Writes the record of routes.
+  Orders,       ///< Reads what the operators have written, and nothing else.
+  Directory,    ///< Reads the directory of registrations.
+  RouteHistory, ///< Reads the record of routes alone.
+  OwnRecord,    ///< Reads this instance's record.
   WriteDirectory,
 };
 inline constexpr size_t CallKindCount = 11;
@@ -198,7 +198,7 @@
   /// may be old.
   virtual RegistryCall readDirectories(const std::string &after) const = 0;
   /// Reads the record of routes alone; it may be old.
-  virtual RegistryCall readRouteRecords() const = 0;
+  virtual RegistryCall readRouteHistory() const = 0;
   /// Reads an instance's own record.
   virtual RegistryCall readRecord(InstanceId id, Freshness freshness) const = 0;
   /// Reads the answer to a call that asks for one item.
@@ -227,7 +227,7 @@
   /// Writes parts of the record of routes, each only where its item still has
   /// the revision that is named; all of them or none.
   virtual RegistryCall
-  writeRouteRecords(const std::vector<RouteRecord> &records) const = 0;
+  writeRouteHistory(const std::vector<RouteHistoryPart> &records) const = 0;
 
   /// Writes parts of the directory, by zone, and its note, where the note still
   /// has the revision that is named; all or none.
--- a/include/chicorybank/edge/RouteLedger.h
+++ b/include/chicorybank/edge/RouteHistory.h
@@ -14,13 +14,14 @@
 // it missing from the routes. Clocks, and the order in which a late write
 // arrives, change nothing.
 //
-//   RouteLedger ledger;
+//   RouteHistory ledger;
 //   ledger.learn(routes, now);
-//   ledger.learn(reader.routeRecords(), maxFlowAge, now);
-//   for (const RouteRecord &it : ledger.wanted(stored, maxFlowAge, now)) ...
+//   ledger.learn(reader.routeHistory(), maxFlowAge, now);
+//   for (const RouteHistoryPart &it : ledger.wanted(stored, maxFlowAge, now))
+//   ...
 
-#ifndef CHICORYBANK_EDGE_ROUTELEDGER_H
-#define CHICORYBANK_EDGE_ROUTELEDGER_H
+#ifndef CHICORYBANK_EDGE_ROUTEHISTORY_H
+#define CHICORYBANK_EDGE_ROUTEHISTORY_H
 
 #include "chicorybank/edge/Registry.h"
 
@@ -32,29 +33,30 @@
 namespace chicory::edge {
 
 /// Knows what the record should say. It does no I/O.
-class RouteLedger {
+class RouteHistory {
 public:
   /// Services that one address has lost and that are kept, the latest ones. It
   /// bounds a part to some 60 kB where routes move all day and flows live for
   /// hours; an address that moves more often loses its oldest flows at a
   /// restart.
-  static constexpr size_t MostLost = 8;
+  static constexpr size_t MaxFormerServices = 8;
 
   /// A version came into force. Older ones are ignored.
   void learn(const token::RouteSet &routes, Time now);
   /// The record was read: it may know pairs that this instance does not.
   /// Pairs that were lost longer ago than a flow lives are forgotten once they
   /// are out of the record.
-  void learn(const RouteRecords &stored, Duration maxFlowAge, Time now);
+  void learn(const RouteHistoryParts &stored, Duration maxFlowAge, Time now);
   /// The parts that lack a pair of theirs, as they should be, each with the
   /// revision that its item has. A pair too many is no reason to write.
-  std::vector<RouteRecord> missingFrom(const RouteRecords &stored,
-                                       Duration maxFlowAge, Time now) const;
+  std::vector<RouteHistoryPart> incompleteParts(const RouteHistoryParts &stored,
+                                                Duration maxFlowAge,
+                                                Time now) const;
 
   /// How many parts hold so many addresses. Each part is an item that every
   /// start has to read, so there are more of them only where one would be
   /// large.
-  static uint32_t partsFor(size_t addresses);
+  static uint32_t partCount(size_t addresses);
   /// The part, of so many, that holds an address.
   static uint32_t partOf(Address where, uint32_t parts);
 
--- a/include/chicorybank/edge/WriteTurn.h
+++ b/include/chicorybank/edge/StaggeredWrite.h
@@ -8,20 +8,20 @@
 // what the other has written: it would be refused again. Where news is late,
 // hundreds would write every two seconds; one sees `status=412` in rows.
 
-#ifndef CHICORYBANK_EDGE_WRITETURN_H
-#define CHICORYBANK_EDGE_WRITETURN_H
+#ifndef CHICORYBANK_EDGE_STAGGEREDWRITE_H
+#define CHICORYBANK_EDGE_STAGGEREDWRITE_H
 
 #include "chicorybank/edge/NewsReader.h"
 
 namespace chicory::edge {
 
 /// Times of a turn.
-struct WriteTimes {
+struct StaggeredWriteTimes {
   /// How long something may be missing before the first in line writes.
   /// Changes come in bursts of some a second, and a write for each is wasted.
-  Duration SettleFor = std::chrono::seconds(1);
+  Duration SettleTime = std::chrono::seconds(1);
   /// Of its patience with news, an instance further back waits so much longer.
-  int PatienceFactor = 2;
+  int StalenessLimitFactor = 2;
   /// A write that failed is tried again after this time, and one that was
   /// refused when the copy has moved on.
   Duration RetryAfter = std::chrono::seconds(2);
@@ -36,14 +36,14 @@
 };
 
 /// The state machine; it does no I/O. One write is under way at a time.
-class WriteTurn {
+class StaggeredWrite {
 public:
-  explicit WriteTurn(WriteTimes times = {}) : Times(times) {}
+  explicit StaggeredWrite(StaggeredWriteTimes times = {}) : Times(times) {}
 
   /// Whether something is missing now, and where what is stored was written.
   void learn(bool missing, Position storedAsOf, Time now);
   /// When this instance may write; far away while nothing is missing.
-  Time at(Duration patience) const;
+  Time dueAt(Duration stalenessLimit) const;
   /// The write was sent.
   void begin() {
     Waiting = true;
@@ -51,12 +51,12 @@
   }
   void answered(const NewsAnswer &answer, Time now);
   /// From now on the first in line waits for this long.
-  void settleFor(Duration time) { Times.SettleFor = time; }
+  void setSettleTime(Duration time) { Times.SettleTime = time; }
 
   const WriteStats &stats() const { return Stats; }
 
 private:
-  WriteTimes Times;
+  StaggeredWriteTimes Times;
   bool Missing = false;
   bool Waiting = false;
   /// The last write was refused, and the copy is as it was then.
--- a/include/chicorybank/edge/StartSequence.h
+++ b/include/chicorybank/edge/StartSequence.h
@@ -80,7 +80,7 @@
   enum class Step : uint8_t {
     Directory,
     Orders,
-    PastRoutes,
+    RouteHistory,
     OtherDirectories,
     Done
   };
@@ -90,8 +90,8 @@
                                              Mirror &copy, Findings &findings,
                                              std::vector<Change> &out);
   tl::expected<void, std::string>
-  takePastRoutes(const std::string &body, Generation generation, Mirror &copy,
-                 Findings &findings, std::vector<Change> &out);
+  takeRouteHistory(const std::string &body, Generation generation, Mirror &copy,
+                   Findings &findings, std::vector<Change> &out);
   tl::expected<void, std::string> takeDirectory(const std::string &body,
                                                 std::vector<Change> &out);
   tl::expected<void, std::string>
--- a/include/chicorybank/token/Mechanisms.h
+++ b/include/chicorybank/token/Mechanisms.h
@@ -37,9 +37,9 @@
   /// Packets before the first news wait for it.
   bool HoldAtStart = true;
   /// Instances that start without the registry are told by others.
-  bool Reminders = true;
+  bool OutageGossip = true;
   /// What routes led to is recorded for instances that start.
-  bool RouteRecord = true;
+  bool RouteHistory = true;
 
   bool operator==(const Mechanisms &) const = default;
 };
@@ -60,8 +60,8 @@
     {"own_zone_first", &Mechanisms::OwnZoneFirst},
     {"missing_as_last_resort", &Mechanisms::MissingAsLastResort},
     {"hold_at_start", &Mechanisms::HoldAtStart},
-    {"reminders", &Mechanisms::Reminders},
-    {"route_record", &Mechanisms::RouteRecord},
+    {"reminders", &Mechanisms::OutageGossip},
+    {"route_record", &Mechanisms::RouteHistory},
 }};
 
 } // namespace chicory::token
--- a/include/chicorybank/token/Routes.h
+++ b/include/chicorybank/token/Routes.h
@@ -71,7 +71,7 @@
   /// versions never go back, whichever way the news took.
   bool learn(const RouteSet &routes, Time now);
 
-  /// Takes what other instances have seen routes lead to (`RouteLedger.h`).
+  /// Takes what other instances have seen routes lead to (`RouteHistory.h`).
   ///
   /// What goes wrong without: an instance that starts after a route has moved
   /// has only read the new version, so it takes the tokens of all older flows
--- a/lib/edge/DirectoryWriter.cpp
+++ b/lib/edge/DirectoryWriter.cpp
@@ -30,27 +30,27 @@
   Stored = stored;
   Changed = differences(copy.registrationDigests(), stored.Digests);
   std::erase_if(Changed, [&](const std::string &zone) {
-    return copy.registrationCount(zone) > MostServers;
+    return copy.registrationCount(zone) > MaxServers;
   });
   int64_t servers = 0;
   for (const std::string &zone : Changed)
     servers += static_cast<int64_t>(copy.registrationCount(zone));
-  Turn.settleFor(std::max<Duration>(
-      WriteTimes{}.SettleFor,
+  Turn.setSettleTime(std::max<Duration>(
+      StaggeredWriteTimes{}.SettleTime,
       std::chrono::seconds(servers * EntryBytes / BytesPerSecond)));
   Turn.learn(!Changed.empty(), stored.At, now);
 }
 
-std::optional<RegistryCall> DirectoryWriter::next(const Mirror &copy,
-                                                  Duration patience, Time now) {
-  if (now < nextAt(patience))
+std::optional<RegistryCall>
+DirectoryWriter::next(const Mirror &copy, Duration stalenessLimit, Time now) {
+  if (now < nextAt(stalenessLimit))
     return std::nullopt;
   Turn.begin();
   ZoneDigests digests = copy.registrationDigests();
   DirectoryNote note = Stored;
   std::map<std::string, std::string> parts;
   for (const std::string &zone : Changed) {
-    if (parts.size() == MostParts)
+    if (parts.size() == MaxParts)
       break;
     parts[zone] = encodeDirectory({.Servers = copy.registrations(zone),
                                    .Instances = copy.instanceCount()});
--- a/lib/edge/FragmentAssembler.cpp
+++ b/lib/edge/FragmentAssembler.cpp
@@ -7,7 +7,7 @@
 FragmentAssembler::Unfinished &
 FragmentAssembler::unfinished(const Fragment &fragment) {
   auto it = Senders.find(fragment.Sender);
-  if (it == Senders.end() && Senders.size() >= MostSenders)
+  if (it == Senders.end() && Senders.size() >= MaxSenders)
     Senders.erase(std::min_element(Senders.begin(), Senders.end(),
                                    [](const auto &a, const auto &b) {
                                      return a.second.Touched < b.second.Touched;
@@ -22,7 +22,7 @@
   return out;
 }
 
-std::optional<std::string> FragmentAssembler::take(Fragment fragment) {
+std::optional<std::string> FragmentAssembler::add(Fragment fragment) {
   if (fragment.Index >= fragment.Count)
     return std::nullopt;
   Unfinished &message = unfinished(fragment);
--- a/lib/edge/Announcer.cpp
+++ b/lib/edge/InstanceRegistrar.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/Announcer.h"
+#include "chicorybank/edge/InstanceRegistrar.h"
 
 #include "Http.h"
 
@@ -6,7 +6,7 @@
 
 namespace chicory::edge {
 
-std::optional<RegistryCall> Announcer::next(Time now) {
+std::optional<RegistryCall> InstanceRegistrar::next(Time now) {
   if (Waiting || now < DueAt)
     return std::nullopt;
   Waiting = true;
@@ -21,7 +21,7 @@
   case Phase::Looking:
     return Dialect.readRecord(Self.Id, LookUp);
   case Phase::Leasing:
-    return Dialect.createLease(Times.LeaseLife);
+    return Dialect.createLease(Times.LeaseDuration);
   case Phase::Writing:
     return Dialect.announce(Self, Lease);
   case Phase::Renewing:
@@ -30,7 +30,7 @@
   return Dialect.renewLease(Lease);
 }
 
-void Announcer::answered(const NewsAnswer &answer, Time now) {
+void InstanceRegistrar::answered(const NewsAnswer &answer, Time now) {
   Waiting = false;
   DueAt = now + Times.RetryAfter;
   bool known = answer.Status == HttpOk || answer.Status == HttpNotFound;
@@ -74,10 +74,10 @@
   case Phase::Renewing:
     break;
   }
-  DueAt = now + Times.RenewEvery;
+  DueAt = now + Times.RenewInterval;
 }
 
-void Announcer::takeFormer(const NewsAnswer &answer) {
+void InstanceRegistrar::takeFormer(const NewsAnswer &answer) {
   State = Phase::Leasing;
   if (answer.Status != HttpOk)
     return;
@@ -92,9 +92,9 @@
   State = record && *record == Self ? Phase::Renewing : Phase::Writing;
 }
 
-void Announcer::seen(const PeerRecord *own, Time asOf) {
+void InstanceRegistrar::checkRecord(const PeerRecord *own, Time asOf) {
   if (Waiting || State != Phase::Renewing || (own && *own == Self) ||
-      asOf - WrittenAt < Times.SeenWithin)
+      asOf - WrittenAt < Times.VisibleWithin)
     return;
   // A record that is not as it was written is the former process's: a late
   // write of it, or one that was read from an old copy.
@@ -102,7 +102,7 @@
   DueAt = asOf;
 }
 
-std::optional<RegistryCall> Announcer::end() {
+std::optional<RegistryCall> InstanceRegistrar::leave() {
   Waiting = true;
   if (State == Phase::Leasing || State == Phase::Looking || LookAgain)
     return std::nullopt;
--- a/lib/edge/Mirror.cpp
+++ b/lib/edge/Mirror.cpp
@@ -56,7 +56,7 @@
   uint64_t operator()(const PeerRecord &news) const {
     return mixHash(news.Id.Value, news.Peers.packed() * 2 + news.Leaving);
   }
-  uint64_t operator()(const RouteRecord &news) const {
+  uint64_t operator()(const RouteHistoryPart &news) const {
     uint64_t out = news.Part;
     for (const token::RoutePair &it : news.Pairs)
       out = mixHash(mixHash(out, it.Where.packed()), it.Service.Value);
@@ -87,7 +87,7 @@
 /// What only the system itself writes, and writes by what the registry holds,
 /// has to be known as missing at once.
 bool mayBeHeld(const News &news) {
-  return !std::holds_alternative<RouteRecord>(news) &&
+  return !std::holds_alternative<RouteHistoryPart>(news) &&
          !std::holds_alternative<DirectoryNote>(news);
 }
 
--- a/lib/edge/NewsDuty.cpp
+++ b/lib/edge/NewsDuty.cpp
@@ -29,13 +29,13 @@
               .Zone = settings.Zone,
               .Pace = settings.News.Pace,
               .ApplyWithin = settings.Core.ApplyWithin,
-              .RetryMost = settings.News.RetryMost,
+              .RetryMax = settings.News.RetryMost,
               .Seed = settings.Core.Seed}),
       Records(loop, log, settings, dialect, Reader.mirror()),
       Registry(loop, settings.Ip, settings.Registry, dialect),
       Pages(loop, settings.Ip, Reader.mirror()),
       Others(InstanceId{settings.Ip}, settings.Zone) {
-  Reader.setPatience(Spread.patience(), Spread.retryMost());
+  Reader.setStalenessLimit(Spread.stalenessLimit(), Spread.retryMax());
   Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { readPushes(); });
 }
 
@@ -53,14 +53,14 @@
     noteRegistry(now);
   }
   if (Reader.started())
-    Records.run(mayWrite(), Spread.patience(), now);
+    Records.run(mayWrite(), Spread.stalenessLimit(), now);
   remindOthers(now);
 }
 
 Time NewsDuty::nextAt() const {
   Time out = std::min(Registry.deadline(), Pages.deadline());
   if (Reader.started())
-    out = std::min(out, Records.nextAt(mayWrite(), Spread.patience()));
+    out = std::min(out, Records.nextAt(mayWrite(), Spread.stalenessLimit()));
   if (mayRemind())
     out = std::min(out, Others.nextAt(Away));
   if (!Leaving && !Registry.busy())
@@ -110,7 +110,7 @@
 void NewsDuty::learnRecord(Time now) {
   if (!std::exchange(RoutesChanged, false))
     return;
-  Records.learn(Reader.mirror().routes(), Reader.routeRecords(), now);
+  Records.learn(Reader.mirror().routes(), Reader.routeHistory(), now);
 }
 
 void NewsDuty::takeAnswer(const HttpClient::Result &result) {
@@ -164,10 +164,10 @@
   Findings findings = Reader.takeFindings();
   for (const Finding &it : findings.items())
     Lines.write(LogLine("bad_item").with("finding", it.text()));
-  if (Reader.peers() != Others.known())
+  if (Reader.peers() != Others.registered())
     takePeers(now);
-  auto own = Others.known().find(InstanceId{Settings.Ip});
-  Records.seen(own == Others.known().end() ? nullptr : &own->second,
+  auto own = Others.registered().find(InstanceId{Settings.Ip});
+  Records.seen(own == Others.registered().end() ? nullptr : &own->second,
                Reader.currentAt());
   Records.learnDirectory(Reader.directoryNote(), now);
 }
@@ -186,13 +186,13 @@
 void NewsDuty::takePeers(Time now) {
   Others.learn(Reader.peers(), now);
   token::InstancesLearned instances;
-  for (const auto &[id, peer] : Others.known())
+  for (const auto &[id, peer] : Others.registered())
     if (!peer.Leaving)
       instances.Instances.push_back({.Id = id, .Zone = peer.Zone});
   Pending.emplace_back(std::move(instances));
   passNews();
-  Spread.learn(Others.placed(now));
-  Reader.setPatience(Spread.patience(), Spread.retryMost());
+  Spread.learn(Others.treeMembers(now));
+  Reader.setStalenessLimit(Spread.stalenessLimit(), Spread.retryMax());
 }
 
 void NewsDuty::passNews() {
@@ -213,9 +213,9 @@
     auto message = decodeDatagram({buf.data(), static_cast<size_t>(size)});
     if (!message)
       ++Traffic.Bad;
-    else if (auto *push = std::get_if<NewsPush>(&*message))
+    else if (auto *push = std::get_if<UpdatePush>(&*message))
       takePush(*push, now);
-    else if (auto *doubt = std::get_if<Doubt>(&*message))
+    else if (auto *doubt = std::get_if<UnreachableReport>(&*message))
       takeDoubt(*doubt, now);
     else
       takeFragment(std::move(std::get<Fragment>(*message)), now);
@@ -223,7 +223,7 @@
 }
 
 void NewsDuty::takeFragment(Fragment fragment, Time now) {
-  std::optional<std::string> bytes = Fragments.take(std::move(fragment));
+  std::optional<std::string> bytes = Fragments.add(std::move(fragment));
   if (!bytes)
     return;
   auto push = decodeFragments(*bytes);
@@ -238,13 +238,13 @@
 void NewsDuty::shareDoubts(Time now) {
   token::BackendId id;
   while (Common.Doubts.try_dequeue(id))
-    if (Doubts.isNew(id, now))
+    if (Doubts.shouldForward(id, now))
       sendDoubt(id, true);
 }
 
-void NewsDuty::takeDoubt(const Doubt &doubt, Time now) {
+void NewsDuty::takeDoubt(const UnreachableReport &doubt, Time now) {
   ++Traffic.Doubts;
-  if (!Doubts.isNew(doubt.Backend, now))
+  if (!Doubts.shouldForward(doubt.Backend, now))
     return;
   Pending.emplace_back(token::BackendDoubted{doubt.Backend});
   passNews();
@@ -252,13 +252,13 @@
 }
 
 void NewsDuty::sendDoubt(token::BackendId id, bool own) {
-  std::string bytes =
-      encodeDoubt({.Sender = InstanceId{Settings.Ip}, .Backend = id});
+  std::string bytes = encodeUnreachableReport(
+      {.Sender = InstanceId{Settings.Ip}, .Backend = id});
   for (Address it : Spread.targets(own))
     send(bytes, it);
 }
 
-void NewsDuty::takePush(const NewsPush &push, Time now) {
+void NewsDuty::takePush(const UpdatePush &push, Time now) {
   if (Reader.needsSeed(push))
     return pullSeed(push.Sender);
   Time before = Reader.currentAt();
@@ -278,7 +278,7 @@
   if (!Reader.mayPassOn())
     return;
   std::vector<Address> targets = Spread.targets(asked);
-  NewsPush push = Reader.push(InstanceId{Settings.Ip}, PushedTo, now);
+  UpdatePush push = Reader.push(InstanceId{Settings.Ip}, PushedTo, now);
   PushedTo = Reader.mirror().position();
   PushedAsOf = Reader.currentAt();
   if (targets.empty())
@@ -310,8 +310,8 @@
 
 /// All instances use one port, also where no record says so yet.
 Address NewsDuty::addressOf(InstanceId id) const {
-  auto it = Others.known().find(id);
-  return it == Others.known().end()
+  auto it = Others.registered().find(id);
+  return it == Others.registered().end()
              ? Address{.Ip = id.Value, .Port = Settings.Peers.Port}
              : it->second.Peers;
 }
@@ -319,13 +319,13 @@
 void NewsDuty::remindOthers(Time now) {
   if (!mayRemind())
     return;
-  std::vector<Address> targets = Others.due(Away, now);
+  std::vector<Address> targets = Others.dueRegistered(Away, now);
   std::vector<Address> former = Others.dueFormer(Away, now);
   targets.insert(targets.end(), former.begin(), former.end());
   if (targets.empty())
     return;
   // Whoever lacks something reads it from here.
-  NewsPush push =
+  UpdatePush push =
       Reader.push(InstanceId{Settings.Ip}, Reader.mirror().position(), now);
   std::string bytes = encodePush(push);
   for (Address it : targets)
@@ -333,7 +333,8 @@
 }
 
 bool NewsDuty::mayRemind() const {
-  return Settings.Core.Use.Reminders && Reader.knowsAll() && Reader.mayPassOn();
+  return Settings.Core.Use.OutageGossip && Reader.knowsAll() &&
+         Reader.mayPassOn();
 }
 
 void NewsDuty::pullSeed(InstanceId from) {
--- a/lib/edge/NewsDuty.h
+++ b/lib/edge/NewsDuty.h
@@ -10,11 +10,11 @@
 #include "RegistryClient.h"
 #include "Shared.h"
 
-#include "chicorybank/edge/DoubtLog.h"
 #include "chicorybank/edge/FragmentAssembler.h"
-#include "chicorybank/edge/NewsSpread.h"
-#include "chicorybank/edge/Reminders.h"
+#include "chicorybank/edge/OutageGossip.h"
+#include "chicorybank/edge/PropagationTree.h"
 #include "chicorybank/edge/Settings.h"
+#include "chicorybank/edge/UnreachableReportFilter.h"
 
 #include <deque>
 
@@ -60,9 +60,9 @@
   void takeAnswer(const HttpClient::Result &result);
   void noteRestore(const Position &before, InstanceId from);
   void readPushes();
-  void takePush(const NewsPush &push, Time now);
+  void takePush(const UpdatePush &push, Time now);
   void takeFragment(Fragment fragment, Time now);
-  void takeDoubt(const Doubt &doubt, Time now);
+  void takeDoubt(const UnreachableReport &doubt, Time now);
   void shareDoubts(Time now);
   void sendDoubt(token::BackendId id, bool own);
   void pull(InstanceId from, bool whole);
@@ -95,14 +95,14 @@
   Loop &Events;
   FileDescriptor Socket;
   NewsReader Reader;
-  NewsSpread Spread;
+  PropagationTree Spread;
   RecordDuty Records;
   RegistryClient Registry;
   Time StartedAt = steadyNow();
   PeerPages Pages;
   std::deque<token::Event> Pending;
   /// The registered instances, and those that may be back.
-  Reminders Others;
+  OutageGossip Others;
   /// Where the last push led to.
   Position PushedTo;
   /// As of when the last push was current.
@@ -114,7 +114,7 @@
   bool Leaving = false;
   PeerStats Traffic;
   FragmentAssembler Fragments;
-  DoubtLog Doubts;
+  UnreachableReportFilter Doubts;
   uint64_t MessagesSent = 0;
 };
 
--- a/lib/edge/NewsFromPeers.cpp
+++ b/lib/edge/NewsFromPeers.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool NewsReader::takePush(const NewsPush &push, bool late, Time now,
+bool NewsReader::takePush(const UpdatePush &push, bool late, Time now,
                           std::vector<token::Event> &out) {
   ++Stats.Pushes;
   if (!Complete && (late || !replacesFirstList(push)))
@@ -68,7 +68,7 @@
 }
 
 /// The push lacks changes that this copy lacks as well.
-bool NewsReader::mustRead(const NewsPush &push) const {
+bool NewsReader::mustRead(const UpdatePush &push) const {
   return push.Page.At > Copy.position() &&
          (!push.Complete || push.Base > Copy.position());
 }
@@ -77,7 +77,7 @@
 /// each list is megabytes on the registry's link and a call for each of its
 /// pages; one sees that link full for half a minute, and `registry_calls` with
 /// as many lists as there are pages.
-bool NewsReader::replacesFirstList(const NewsPush &push) const {
+bool NewsReader::replacesFirstList(const UpdatePush &push) const {
   return firstListIsAhead() && push.Age < Times.AwayAfter &&
          push.Page.At.Generation == Told;
 }
@@ -87,7 +87,7 @@
 /// none. Otherwise hundreds would list at once when the registry is back from
 /// an outage; one sees `registry_calls` with lists of each instance, and the
 /// registry's link full.
-bool NewsReader::settles(const NewsPush &push) const {
+bool NewsReader::settles(const UpdatePush &push) const {
   bool due = State == Phase::Listing && Complete && !Waiting && After.empty();
   return due && push.Age < Times.AwayAfter && settled() &&
          push.Page.At == Copy.position() && push.Digest == Copy.digest();
@@ -125,11 +125,11 @@
     out.emplace_back(token::BackendsComplete{});
 }
 
-NewsPush NewsReader::push(InstanceId self, Position since, Time now) const {
-  NewsPush out{.Sender = self,
-               .Age = std::min(now - CurrentAt, OldestAge),
-               .Base = since,
-               .Digest = Copy.digest()};
+UpdatePush NewsReader::push(InstanceId self, Position since, Time now) const {
+  UpdatePush out{.Sender = self,
+                 .Age = std::min(now - CurrentAt, OldestAge),
+                 .Base = since,
+                 .Digest = Copy.digest()};
   if (auto page = Copy.since(since))
     out.Page = std::move(*page);
   else
--- a/lib/edge/NewsReader.cpp
+++ b/lib/edge/NewsReader.cpp
@@ -23,12 +23,12 @@
 NewsReader::NewsReader(const RegistryDialect &dialect, NewsTimes times,
                        uint64_t seed, std::string zone)
     : Times(times), Dialect(dialect), Random(seed), Copy(dialect),
-      Start(dialect, std::move(zone)), Patience(times.Pace),
+      Start(dialect, std::move(zone)), StalenessLimit(times.Pace),
       RetryMost(times.RetryMost), Retry(times.RetryLeast) {}
 
-void NewsReader::setPatience(Duration patience, Duration retryMost) {
-  Patience = patience;
-  RetryMost = std::max(retryMost, Times.RetryLeast);
+void NewsReader::setStalenessLimit(Duration stalenessLimit, Duration retryMax) {
+  StalenessLimit = stalenessLimit;
+  RetryMost = std::max(retryMax, Times.RetryLeast);
 }
 
 Time NewsReader::nextAt() const {
@@ -39,7 +39,8 @@
   if (watches())
     return std::max(DueAt, WatchedAt + Times.Pace);
   // After a list that may be old, whoever watches is about to tell.
-  return std::max({DueAt, CurrentAt + Patience, LastList + Patience});
+  return std::max(
+      {DueAt, CurrentAt + StalenessLimit, LastList + StalenessLimit});
 }
 
 std::optional<NewsCall> NewsReader::next(Time now) {
@@ -141,7 +142,7 @@
   // Whoever watches is told by the next answer and passes it on; a list by
   // everyone at once would be a storm.
   if (State == Phase::Watching && !Waiting)
-    startList(now + Patience);
+    startList(now + StalenessLimit);
 }
 
 bool NewsReader::contradicts(const ItemPage &list) const {
@@ -377,7 +378,7 @@
     } else if (auto *bad = std::get_if<RegistrationUnreadable>(&it.Meaning)) {
       forget(servers, bad->Id);
       servers.Unreadable.push_back(bad->Id);
-    } else if (auto *record = std::get_if<RouteRecord>(&it.Meaning)) {
+    } else if (auto *record = std::get_if<RouteHistoryPart>(&it.Meaning)) {
       out.emplace_back(token::PastRoutesLearned{record->Pairs});
       Recorded[record->Part] = std::move(*record);
     } else if (auto *note = std::get_if<DirectoryNote>(&it.Meaning)) {
--- a/lib/edge/Reminders.cpp
+++ b/lib/edge/OutageGossip.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/Reminders.h"
+#include "chicorybank/edge/OutageGossip.h"
 
 #include "chicorybank/base/Hash.h"
 
@@ -7,7 +7,8 @@
 
 namespace chicory::edge {
 
-void Reminders::learn(const std::map<InstanceId, PeerRecord> &peers, Time now) {
+void OutageGossip::learn(const std::map<InstanceId, PeerRecord> &peers,
+                         Time now) {
   for (const auto &[id, peer] : Known)
     if (!peers.contains(id))
       Former[id] = {.Peer = peer, .At = now};
@@ -18,37 +19,37 @@
   Neighbours = static_cast<size_t>(near);
   Elsewhere = Known.size() - Neighbours;
   std::erase_if(Former, [&](const auto &it) {
-    return Known.contains(it.first) || now - it.second.At > FormerFor;
+    return Known.contains(it.first) || now - it.second.At > FormerRetention;
   });
   for (const auto &[id, peer] : Known)
     if (peer.Leaving)
       Former[id] = {.Peer = peer, .At = now};
 }
 
-std::map<InstanceId, PeerRecord> Reminders::placed(Time now) const {
+std::map<InstanceId, PeerRecord> OutageGossip::treeMembers(Time now) const {
   std::map<InstanceId, PeerRecord> out = Known;
   for (const auto &[id, left] : Former)
-    if (!left.Peer.Leaving && now - left.At <= PlaceKeptFor)
+    if (!left.Peer.Leaving && now - left.At <= LapsedRetention)
       out.emplace(id, left.Peer);
   return out;
 }
 
 /// A share of all pairs, another one each turn.
-bool Reminders::tells(const PeerRecord &peer, uint64_t turn) const {
+bool OutageGossip::tells(const PeerRecord &peer, uint64_t turn) const {
   bool near = peer.Zone == Zone;
-  double share =
-      near ? ToldByNeighbours /
-                 static_cast<double>(std::max<size_t>(Neighbours, 1))
-           : ToldByOthers / static_cast<double>(std::max<size_t>(Elsewhere, 1));
+  double share = near ? SendersInZone /
+                            static_cast<double>(std::max<size_t>(Neighbours, 1))
+                      : SendersElsewhere /
+                            static_cast<double>(std::max<size_t>(Elsewhere, 1));
   uint64_t hash = mixHash(mixHash(Self.Value, peer.Id.Value), turn);
   return static_cast<double>(hash) < share * std::ldexp(1.0, 64);
 }
 
-std::vector<Address> Reminders::due(bool away, Time now) {
+std::vector<Address> OutageGossip::dueRegistered(bool away, Time now) {
   std::vector<Address> out;
   if (!away || now < DueAt)
     return out;
-  DueAt = now + Every;
+  DueAt = now + Interval;
   ++Turn;
   for (const auto &[id, peer] : Known)
     if (id != Self && tells(peer, Turn))
@@ -56,19 +57,19 @@
   return out;
 }
 
-std::vector<Address> Reminders::dueFormer(bool away, Time now) {
+std::vector<Address> OutageGossip::dueFormer(bool away, Time now) {
   std::vector<Address> out;
   if (!away || now < FormerDueAt)
     return out;
-  FormerDueAt = now + FormerEvery;
+  FormerDueAt = now + FormerInterval;
   ++Turn;
   for (const auto &[id, left] : Former)
-    if (now - left.At <= FormerFor && tells(left.Peer, Turn))
+    if (now - left.At <= FormerRetention && tells(left.Peer, Turn))
       out.push_back(left.Peer.Peers);
   return out;
 }
 
-Time Reminders::nextAt(bool away) const {
+Time OutageGossip::nextAt(bool away) const {
   if (!away)
     return Time::max();
   return Former.empty() ? DueAt : std::min(DueAt, FormerDueAt);
--- a/lib/edge/PeerMessages.cpp
+++ b/lib/edge/PeerMessages.cpp
@@ -11,7 +11,12 @@
 namespace {
 
 constexpr uint64_t FormatVersion = 3;
-enum class Kind : uint8_t { News = 1, Fragment = 2, Doubt = 3, Page = 4 };
+enum class Kind : uint8_t {
+  News = 1,
+  Fragment = 2,
+  UnreachableReport = 3,
+  Page = 4
+};
 
 /// Reads a message's format version and kind; `read` reads the rest of the
 /// outer array, which depends on the kind.
@@ -57,7 +62,7 @@
     pack(out, it);
 }
 
-std::string packPush(const NewsPush &push, bool withItems) {
+std::string packPush(const UpdatePush &push, bool withItems) {
   Packer out;
   out.list(11).number(FormatVersion).number(static_cast<uint64_t>(Kind::News));
   out.number(push.Sender.Value);
@@ -70,7 +75,7 @@
 }
 
 /// Too much for a push, whatever compression makes of it.
-bool isTooLarge(const NewsPush &push) {
+bool isTooLarge(const UpdatePush &push) {
   size_t bytes = 0;
   for (const Item &it : push.Page.Items)
     bytes += it.Key.size() + it.Value.size();
@@ -92,8 +97,8 @@
   return out;
 }
 
-NewsPush readPush(Unpacker &in) {
-  NewsPush out{.Sender = readInstance(in)};
+UpdatePush readPush(Unpacker &in) {
+  UpdatePush out{.Sender = readInstance(in)};
   uint64_t age = in.number();
   // A day: older news is as good as none, and must not overflow.
   constexpr uint64_t Most = 86'400'000'000;
@@ -120,27 +125,28 @@
 
 } // namespace
 
-std::string encodePush(const NewsPush &push, size_t most) {
+std::string encodePush(const UpdatePush &push, size_t most) {
   std::string out = packPush(push, true);
   return out.size() <= most ? out : packPush(push, false);
 }
 
-tl::expected<NewsPush, Reason> decodePush(std::span<const char> bytes) {
-  return decode<NewsPush>(bytes, [](Unpacker &in, uint64_t kind) {
+tl::expected<UpdatePush, Reason> decodePush(std::span<const char> bytes) {
+  return decode<UpdatePush>(bytes, [](Unpacker &in, uint64_t kind) {
     in.require(kind == static_cast<uint64_t>(Kind::News));
     return readPush(in);
   });
 }
 
-std::vector<std::string> encodeDatagrams(const NewsPush &push, uint64_t message,
-                                         size_t receivers) {
+std::vector<std::string> encodeDatagrams(const UpdatePush &push,
+                                         uint64_t message, size_t receivers) {
   bool tooLarge = isTooLarge(push);
   std::string bytes = packPush(push, !tooLarge);
-  if (bytes.size() <= MaxPeerMessage)
+  if (bytes.size() <= MaxDatagramBytes)
     return {std::move(bytes)};
   bytes = compress(bytes);
   size_t count = (bytes.size() + FragmentBytes - 1) / FragmentBytes;
-  if (count > MaxFragments || (count > 1 && count * receivers > MaxBurst))
+  if (count > MaxFragments ||
+      (count > 1 && count * receivers > MaxBurstDatagrams))
     return {packPush(push, false)};
   std::vector<std::string> out;
   for (size_t n = 0; n < count; ++n) {
@@ -154,7 +160,7 @@
   return out;
 }
 
-tl::expected<NewsPush, Reason> decodeFragments(std::span<const char> bytes) {
+tl::expected<UpdatePush, Reason> decodeFragments(std::span<const char> bytes) {
   // Keys and values are not all of a push.
   constexpr size_t Most = 2 * MaxPushBytes;
   return decompress(bytes, Most).and_then([](const std::string &it) {
@@ -182,9 +188,11 @@
   });
 }
 
-std::string encodeDoubt(const Doubt &doubt) {
+std::string encodeUnreachableReport(const UnreachableReport &doubt) {
   Packer out;
-  out.list(4).number(FormatVersion).number(static_cast<uint64_t>(Kind::Doubt));
+  out.list(4)
+      .number(FormatVersion)
+      .number(static_cast<uint64_t>(Kind::UnreachableReport));
   out.number(doubt.Sender.Value).number(doubt.Backend.Value);
   return out.take();
 }
@@ -193,9 +201,10 @@
   return decode<PeerMessage>(bytes, [](Unpacker &in, uint64_t kind) {
     if (kind == static_cast<uint64_t>(Kind::Fragment))
       return PeerMessage(readFragment(in));
-    if (kind == static_cast<uint64_t>(Kind::Doubt))
-      return PeerMessage(Doubt{.Sender = readInstance(in),
-                               .Backend = token::BackendId{in.number()}});
+    if (kind == static_cast<uint64_t>(Kind::UnreachableReport))
+      return PeerMessage(
+          UnreachableReport{.Sender = readInstance(in),
+                            .Backend = token::BackendId{in.number()}});
     in.require(kind == static_cast<uint64_t>(Kind::News));
     return PeerMessage(readPush(in));
   });
--- a/lib/edge/NewsSpread.cpp
+++ b/lib/edge/PropagationTree.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/NewsSpread.h"
+#include "chicorybank/edge/PropagationTree.h"
 
 #include "chicorybank/base/Hash.h"
 
@@ -28,10 +28,10 @@
 constexpr double RestRetryFactor = 3;
 
 /// In the tree, the first of those to whom this one passes news on.
-size_t firstChild(size_t rank) { return rank * NewsSpread::FanOut + 1; }
+size_t firstChild(size_t rank) { return rank * PropagationTree::FanOut + 1; }
 
 /// The one that passes news on to this one; the first has none.
-size_t parentOf(size_t rank) { return (rank - 1) / NewsSpread::FanOut; }
+size_t parentOf(size_t rank) { return (rank - 1) / PropagationTree::FanOut; }
 
 /// Steps from the first of the zone.
 size_t depthOf(size_t rank) {
@@ -44,16 +44,17 @@
 } // namespace
 
 /// An instance in its zone's order.
-struct NewsSpread::Place {
+struct PropagationTree::Place {
   uint64_t Order;
   PeerRecord Peer;
 };
 
-NewsSpread::NewsSpread(SpreadOptions options) : Options(std::move(options)) {
-  setPatience(0, Unplaced);
+PropagationTree::PropagationTree(PropagationOptions options)
+    : Options(std::move(options)) {
+  setStalenessLimit(0, Unplaced);
 }
 
-void NewsSpread::learn(const std::map<InstanceId, PeerRecord> &peers) {
+void PropagationTree::learn(const std::map<InstanceId, PeerRecord> &peers) {
   bool known = peers.contains(Options.Self);
   if (Placed && !known)
     return;
@@ -74,7 +75,7 @@
   for (auto &[zone, places] : zones) {
     std::sort(places.begin(), places.end(),
               [](const Place &a, const Place &b) { return a.Order < b.Order; });
-    size_t heads = zone == own ? FanOut + 1 : HeadsOfOtherZone;
+    size_t heads = zone == own ? FanOut + 1 : HeadsPerOtherZone;
     for (size_t n = 0; n < std::min(heads, places.size()); ++n)
       if (places[n].Peer.Id != Options.Self)
         Heads.push_back(places[n].Peer.Peers);
@@ -84,7 +85,7 @@
       });
       auto rank = static_cast<size_t>(self - places.begin());
       // Whoever the others don't know of yet is not their first.
-      setPatience(zoneRank, known ? rank : Unplaced);
+      setStalenessLimit(zoneRank, known ? rank : Unplaced);
       append(places, firstChild(rank), Children);
       if (rank != 0)
         append(places, firstChild(parentOf(rank)), Siblings);
@@ -94,22 +95,22 @@
 }
 
 /// Adds the other instances at `FanOut` ranks from the first one on.
-void NewsSpread::append(const std::vector<Place> &places, size_t first,
-                        std::vector<Address> &out) const {
+void PropagationTree::append(const std::vector<Place> &places, size_t first,
+                             std::vector<Address> &out) const {
   for (size_t n = first; n < std::min(first + FanOut, places.size()); ++n)
     if (places[n].Peer.Id != Options.Self)
       out.push_back(places[n].Peer.Peers);
 }
 
 /// Where this instance stands among others of the same place, from 0 to 1.
-double NewsSpread::share() const {
+double PropagationTree::share() const {
   constexpr uint64_t Steps = 1024;
   return static_cast<double>(mixHash(Options.Seed, Options.Self.Value) %
                              Steps) /
          Steps;
 }
 
-void NewsSpread::setPatience(size_t zoneRank, size_t rank) {
+void PropagationTree::setStalenessLimit(size_t zoneRank, size_t rank) {
   double paces = 1 + ZoneStep * static_cast<double>(zoneRank);
   if (rank != 0) {
     paces =
@@ -119,15 +120,15 @@
     else if (rank > RanksApart)
       paces += DepthStep * (static_cast<double>(depthOf(rank) - 1) + share());
   }
-  Patience = std::min(
+  StalenessLimit = std::min(
       std::chrono::duration_cast<Duration>(Options.Pace * paces),
       std::chrono::duration_cast<Duration>(Options.ApplyWithin * MostOfApply));
-  RetryMost = rank == 0 ? Options.RetryMost
-                        : std::chrono::duration_cast<Duration>(
-                              Options.RetryMost * RestRetryFactor);
+  RetryMax = rank == 0 ? Options.RetryMax
+                       : std::chrono::duration_cast<Duration>(Options.RetryMax *
+                                                              RestRetryFactor);
 }
 
-std::vector<Address> NewsSpread::targets(bool asked) const {
+std::vector<Address> PropagationTree::targets(bool asked) const {
   std::vector<Address> out = Children;
   if (!asked)
     return out;
--- a/lib/edge/RecordDuty.cpp
+++ b/lib/edge/RecordDuty.cpp
@@ -23,7 +23,7 @@
       Recorder(dialect), Copy(copy), Directory(dialect), Dialect(dialect),
       Calls(loop, settings.Ip, settings.Registry, dialect) {}
 
-void RecordDuty::run(bool current, Duration patience, Time now) {
+void RecordDuty::run(bool current, Duration stalenessLimit, Time now) {
   Calls.expire(now);
   if (Calls.busy())
     return;
@@ -33,14 +33,14 @@
     return announce(std::move(*call));
   if (!current)
     return;
-  if (Settings.Core.Use.RouteRecord)
-    if (auto call = Recorder.next(patience, now))
+  if (Settings.Core.Use.RouteHistory)
+    if (auto call = Recorder.next(stalenessLimit, now))
       return recordRoutes(std::move(*call));
-  if (auto call = Directory.next(Copy, patience, now))
+  if (auto call = Directory.next(Copy, stalenessLimit, now))
     writeDirectory(std::move(*call));
 }
 
-Time RecordDuty::nextAt(bool current, Duration patience) const {
+Time RecordDuty::nextAt(bool current, Duration stalenessLimit) const {
   if (Calls.busy())
     return Calls.deadline();
   if (Leaving)
@@ -48,9 +48,9 @@
   Time out = Record.nextAt();
   if (!current)
     return out;
-  if (Settings.Core.Use.RouteRecord)
-    out = std::min(out, Recorder.nextAt(patience));
-  return std::min(out, Directory.nextAt(patience));
+  if (Settings.Core.Use.RouteHistory)
+    out = std::min(out, Recorder.nextAt(stalenessLimit));
+  return std::min(out, Directory.nextAt(stalenessLimit));
 }
 
 void RecordDuty::announce(RegistryCall call) {
@@ -83,7 +83,7 @@
 }
 
 void RecordDuty::learn(const token::RouteSet *routes,
-                       const RouteRecords &stored, Time now) {
+                       const RouteHistoryParts &stored, Time now) {
   if (routes)
     Recorder.learn(*routes, now);
   Recorder.learn(stored, Settings.Core.MaxFlowAge, now);
@@ -111,7 +111,7 @@
   if (!LeaveFailed)
     return;
   auto failed = std::exchange(LeaveFailed, nullptr);
-  std::optional<RegistryCall> call = Record.end();
+  std::optional<RegistryCall> call = Record.leave();
   if (!call)
     return;
   Calls.call(std::move(*call), CallTimeout,
--- a/lib/edge/RecordDuty.h
+++ b/lib/edge/RecordDuty.h
@@ -8,9 +8,9 @@
 #include "Log.h"
 #include "RegistryClient.h"
 
-#include "chicorybank/edge/Announcer.h"
 #include "chicorybank/edge/DirectoryWriter.h"
-#include "chicorybank/edge/RouteRecorder.h"
+#include "chicorybank/edge/InstanceRegistrar.h"
+#include "chicorybank/edge/RouteHistoryWriter.h"
 #include "chicorybank/edge/Settings.h"
 
 #include <utility>
@@ -26,17 +26,17 @@
   /// Ends a call whose time is over, and starts one that is due. Serving comes
   /// first: call it only once packets can be carried. `current`: everything was
   /// read, and the registry answers, so this instance may write for all;
-  /// `patience`: of this instance with news.
-  void run(bool current, Duration patience, Time now);
+  /// `stalenessLimit`: of this instance with news.
+  void run(bool current, Duration stalenessLimit, Time now);
   /// When `run` may have something to do.
-  Time nextAt(bool current, Duration patience) const;
+  Time nextAt(bool current, Duration stalenessLimit) const;
 
   /// The routes and their record as they were read last.
-  void learn(const token::RouteSet *routes, const RouteRecords &stored,
+  void learn(const token::RouteSet *routes, const RouteHistoryParts &stored,
              Time now);
   /// The copy of the registry, as of some time, has this record of this
   /// instance, or none.
-  void seen(const PeerRecord *own, Time asOf) { Record.seen(own, asOf); }
+  void seen(const PeerRecord *own, Time asOf) { Record.checkRecord(own, asOf); }
   void learnDirectory(const DirectoryNote &stored, Time now) {
     Directory.learn(Copy, stored, now);
   }
@@ -59,8 +59,8 @@
 
   Log &Lines;
   const EdgeSettings &Settings;
-  Announcer Record;
-  RouteRecorder Recorder;
+  InstanceRegistrar Record;
+  RouteHistoryWriter Recorder;
   const Mirror &Copy;
   DirectoryWriter Directory;
   const RegistryDialect &Dialect;
--- a/lib/edge/RegistryClient.cpp
+++ b/lib/edge/RegistryClient.cpp
@@ -14,13 +14,13 @@
     return "renewal";
   case CallKind::Announce:
     return "announce";
-  case CallKind::RouteRecord:
+  case CallKind::WriteRouteHistory:
     return "route_record";
   case CallKind::Orders:
     return "orders";
   case CallKind::Directory:
     return "directory";
-  case CallKind::PastRoutes:
+  case CallKind::RouteHistory:
     return "past_routes";
   case CallKind::OwnRecord:
     return "own_record";
--- a/lib/edge/RouteLedger.cpp
+++ b/lib/edge/RouteHistory.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/RouteLedger.h"
+#include "chicorybank/edge/RouteHistory.h"
 
 #include "chicorybank/base/Hash.h"
 
@@ -14,7 +14,7 @@
 // configuration with as many routes.
 constexpr size_t AddressesInPart = 256;
 
-std::set<token::RoutePair> pairsOf(const RouteRecords &stored) {
+std::set<token::RoutePair> pairsOf(const RouteHistoryParts &stored) {
   std::set<token::RoutePair> out;
   for (const auto &[part, record] : stored)
     out.insert(record.Pairs.begin(), record.Pairs.end());
@@ -35,7 +35,7 @@
 }
 
 /// Each pair of `wanted` stands in `record`.
-bool holds(const RouteRecord &record, const RouteRecord &wanted) {
+bool holds(const RouteHistoryPart &record, const RouteHistoryPart &wanted) {
   std::set<token::RoutePair> have(record.Pairs.begin(), record.Pairs.end());
   return std::all_of(
       wanted.Pairs.begin(), wanted.Pairs.end(),
@@ -44,16 +44,16 @@
 
 } // namespace
 
-uint32_t RouteLedger::partsFor(size_t addresses) {
+uint32_t RouteHistory::partCount(size_t addresses) {
   auto parts = std::bit_ceil(addresses / AddressesInPart + 1);
-  return static_cast<uint32_t>(std::min<size_t>(parts, RouteRecordParts));
+  return static_cast<uint32_t>(std::min<size_t>(parts, MaxRouteHistoryParts));
 }
 
-uint32_t RouteLedger::partOf(Address where, uint32_t parts) {
+uint32_t RouteHistory::partOf(Address where, uint32_t parts) {
   return static_cast<uint32_t>(mixHash(1, where.packed()) % parts);
 }
 
-void RouteLedger::learn(const token::RouteSet &routes, Time now) {
+void RouteHistory::learn(const token::RouteSet &routes, Time now) {
   if (routes.Version <= Version)
     return;
   Version = routes.Version;
@@ -71,8 +71,8 @@
     Pairs[it.Where].push_back({.Service = it.Service, .LostAt = {}});
 }
 
-void RouteLedger::learn(const RouteRecords &stored, Duration maxFlowAge,
-                        Time now) {
+void RouteHistory::learn(const RouteHistoryParts &stored, Duration maxFlowAge,
+                         Time now) {
   std::set<token::RoutePair> recorded = pairsOf(stored);
   for (auto &it : Pairs)
     std::erase_if(it.second, [&](const Entry &entry) {
@@ -88,10 +88,10 @@
   std::erase_if(Pairs, [](const auto &it) { return it.second.empty(); });
 }
 
-void RouteLedger::boundLost(Entries &entries) {
+void RouteHistory::boundLost(Entries &entries) {
   auto lost = [](const Entry &it) { return it.LostAt.has_value(); };
-  while (static_cast<size_t>(
-             std::count_if(entries.begin(), entries.end(), lost)) > MostLost)
+  while (static_cast<size_t>(std::count_if(entries.begin(), entries.end(),
+                                           lost)) > MaxFormerServices)
     entries.erase(std::min_element(entries.begin(), entries.end(),
                                    [](const Entry &a, const Entry &b) {
                                      return a.LostAt.value_or(Time::max()) <
@@ -99,18 +99,18 @@
                                    }));
 }
 
-std::vector<RouteRecord> RouteLedger::missingFrom(const RouteRecords &stored,
-                                                  Duration maxFlowAge,
-                                                  Time now) const {
-  std::map<uint32_t, RouteRecord> wanted;
-  uint32_t parts = partsFor(Pairs.size());
+std::vector<RouteHistoryPart>
+RouteHistory::incompleteParts(const RouteHistoryParts &stored,
+                              Duration maxFlowAge, Time now) const {
+  std::map<uint32_t, RouteHistoryPart> wanted;
+  uint32_t parts = partCount(Pairs.size());
   for (const auto &[where, entries] : Pairs) {
-    RouteRecord &record = wanted[partOf(where, parts)];
+    RouteHistoryPart &record = wanted[partOf(where, parts)];
     for (const Entry &it : entries)
       if (!expired(it, maxFlowAge, now))
         record.Pairs.push_back({.Where = where, .Service = it.Service});
   }
-  std::vector<RouteRecord> out;
+  std::vector<RouteHistoryPart> out;
   for (auto &[part, record] : wanted) {
     auto old = stored.find(part);
     if (old != stored.end() && holds(old->second, record))
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -12,8 +12,8 @@
 constexpr Duration LongTime = 24h;
 // Of the grace time, so much is left for ending the process itself.
 constexpr Duration GraceReserve = 1s;
-// The longest patience is three and a half paces (`NewsSpread.cpp`); the rest
-// is for the call and for passing the news on.
+// The longest patience is three and a half paces (`PropagationTree.cpp`); the
+// rest is for the call and for passing the news on.
 constexpr int PacesInApply = 6;
 constexpr Duration PaceLeast = 100ms;
 // News is a pace old when all is well. Registrations may lapse as soon as the
--- a/lib/edge/WriteTurn.cpp
+++ b/lib/edge/StaggeredWrite.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/WriteTurn.h"
+#include "chicorybank/edge/StaggeredWrite.h"
 
 #include "Http.h"
 
@@ -7,7 +7,7 @@
 
 namespace chicory::edge {
 
-void WriteTurn::learn(bool missing, Position storedAsOf, Time now) {
+void StaggeredWrite::learn(bool missing, Position storedAsOf, Time now) {
   bool before = std::exchange(Missing, missing);
   // While things go on changing there is always something missing; whoever
   // writes must not be joined by all who stand behind.
@@ -17,14 +17,14 @@
   Overtaken = Overtaken && !written;
 }
 
-Time WriteTurn::at(Duration patience) const {
+Time StaggeredWrite::dueAt(Duration stalenessLimit) const {
   if (Waiting || !Missing || Overtaken)
     return Time::max();
-  return std::max(NotBefore, MissingSince + Times.SettleFor +
-                                 patience * Times.PatienceFactor);
+  return std::max(NotBefore, MissingSince + Times.SettleTime +
+                                 stalenessLimit * Times.StalenessLimitFactor);
 }
 
-void WriteTurn::answered(const NewsAnswer &answer, Time now) {
+void StaggeredWrite::answered(const NewsAnswer &answer, Time now) {
   Waiting = false;
   NotBefore = now + Times.RetryAfter;
   Overtaken = answer.Status == HttpPreconditionFailed && StoredAsOf == SentAsOf;
--- a/lib/edge/StartSequence.cpp
+++ b/lib/edge/StartSequence.cpp
@@ -15,11 +15,11 @@
     return Dialect.readDirectory(Zone);
   case Step::OtherDirectories:
     return Dialect.readDirectories(LastPart);
-  case Step::PastRoutes:
+  case Step::RouteHistory:
   case Step::Done:
     break;
   }
-  return Dialect.readRouteRecords();
+  return Dialect.readRouteHistory();
 }
 
 tl::expected<void, std::string> StartSequence::take(const std::string &body,
@@ -35,8 +35,8 @@
   }
   case Step::Orders:
     return takeOrders(body, generation, copy, findings, out);
-  case Step::PastRoutes:
-    return takePastRoutes(body, generation, copy, findings, out);
+  case Step::RouteHistory:
+    return takeRouteHistory(body, generation, copy, findings, out);
   case Step::OtherDirectories:
     return takeOtherDirectories(body, out);
   case Step::Done:
@@ -46,9 +46,9 @@
 }
 
 tl::expected<void, std::string>
-StartSequence::takePastRoutes(const std::string &body, Generation generation,
-                              Mirror &copy, Findings &findings,
-                              std::vector<Change> &out) {
+StartSequence::takeRouteHistory(const std::string &body, Generation generation,
+                                Mirror &copy, Findings &findings,
+                                std::vector<Change> &out) {
   State = Step::OtherDirectories;
   auto page = Dialect.readPage(body);
   if (!page)
@@ -63,7 +63,7 @@
 StartSequence::takeOrders(const std::string &body, Generation generation,
                           Mirror &copy, Findings &findings,
                           std::vector<Change> &out) {
-  State = Step::PastRoutes;
+  State = Step::RouteHistory;
   if (body.empty())
     return {};
   auto page = Dialect.readPage(body);
--- a/tests/DirectoryTest.cpp
+++ b/tests/DirectoryTest.cpp
@@ -102,8 +102,7 @@
     expectTrue(one <= size_t{10'000} * 15, std::to_string(one) + " bytes");
     expectTrue(two <= size_t{20'000} * 15, std::to_string(two) + " bytes");
     size_t most =
-        encodeDirectory({.Servers = fleet(DirectoryWriter::MostServers)})
-            .size();
+        encodeDirectory({.Servers = fleet(DirectoryWriter::MaxServers)}).size();
     expectTrue(most * 4 / 3 < 1'000'000, std::to_string(most) + " bytes");
   }
 };
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -281,7 +281,7 @@
           chicory::edge::runEdge(settings, "", dialect, framing).has_value();
     });
     Socket other;
-    NewsPush push{.Sender = InstanceId{Loopback + 1}};
+    UpdatePush push{.Sender = InstanceId{Loopback + 1}};
     push.Page.At = known.position();
     std::string bytes = encodePush(push);
     const auto *raw = reinterpret_cast<const std::byte *>(bytes.data());
--- a/tests/FragmentAssemblerTest.cpp
+++ b/tests/FragmentAssemblerTest.cpp
@@ -46,11 +46,11 @@
       });
       FragmentAssembler assembler;
       for (size_t it : extra)
-        RC_ASSERT(!assembler.take(all[it]));
+        RC_ASSERT(!assembler.add(all[it]));
       std::optional<std::string> out;
       for (size_t it : turns) {
         RC_ASSERT(!out);
-        out = assembler.take(all[it]);
+        out = assembler.add(all[it]);
         if (out)
           break;
       }
@@ -60,19 +60,19 @@
 
   void forgetsAMessageThatLostAPiece() {
     FragmentAssembler assembler;
-    assembler.take(pieces(1, 1, "ab")[0]);
-    assembler.take(pieces(1, 2, "cd")[0]);
-    expectTrue(!assembler.take(pieces(1, 1, "ab")[1]), "the old one is gone");
-    assembler.take(pieces(1, 3, "ef")[1]);
-    expectTrue(assembler.take(pieces(1, 3, "ef")[0]) == "ef", "the newest");
+    assembler.add(pieces(1, 1, "ab")[0]);
+    assembler.add(pieces(1, 2, "cd")[0]);
+    expectTrue(!assembler.add(pieces(1, 1, "ab")[1]), "the old one is gone");
+    assembler.add(pieces(1, 3, "ef")[1]);
+    expectTrue(assembler.add(pieces(1, 3, "ef")[0]) == "ef", "the newest");
   }
 
   void keepsSendersApart() {
     FragmentAssembler assembler;
-    assembler.take(pieces(1, 1, "ab")[0]);
-    assembler.take(pieces(2, 1, "xy")[0]);
-    expectTrue(assembler.take(pieces(1, 1, "ab")[1]) == "ab", "the first's");
-    expectTrue(assembler.take(pieces(2, 1, "xy")[1]) == "xy", "the second's");
+    assembler.add(pieces(1, 1, "ab")[0]);
+    assembler.add(pieces(2, 1, "xy")[0]);
+    expectTrue(assembler.add(pieces(1, 1, "ab")[1]) == "ab", "the first's");
+    expectTrue(assembler.add(pieces(2, 1, "xy")[1]) == "xy", "the second's");
   }
 
   // Symptom: memory grows with stray datagrams.
@@ -80,19 +80,19 @@
   // Cause: unfinished messages kept for all of them.
   void holdsNoMoreThanItSays() {
     FragmentAssembler assembler;
-    constexpr uint32_t Senders = FragmentAssembler::MostSenders + 1;
+    constexpr uint32_t Senders = FragmentAssembler::MaxSenders + 1;
     for (uint32_t n = 1; n <= Senders; ++n)
-      assembler.take(pieces(n, 1, "ab")[0]);
-    expectTrue(!assembler.take(pieces(1, 1, "ab")[1]),
+      assembler.add(pieces(n, 1, "ab")[0]);
+    expectTrue(!assembler.add(pieces(1, 1, "ab")[1]),
                "the one that waited longest was forgotten");
-    expectTrue(assembler.take(pieces(Senders, 1, "ab")[1]) == "ab",
+    expectTrue(assembler.add(pieces(Senders, 1, "ab")[1]) == "ab",
                "the newest was kept");
   }
 
   void refusesAPieceOutsideItsMessage() {
     FragmentAssembler assembler;
     Fragment wrong{.Sender = InstanceId{1}, .Index = 3, .Count = 2};
-    expectTrue(!assembler.take(wrong), "refused");
+    expectTrue(!assembler.add(wrong), "refused");
   }
 };
 
--- a/tests/AnnouncerTest.cpp
+++ b/tests/InstanceRegistrarTest.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/Announcer.h"
+#include "chicorybank/edge/InstanceRegistrar.h"
 
 #include "RegistrySamples.h"
 #include "Story.h"
@@ -21,7 +21,7 @@
 }
 
 struct Announcing {
-  Announcer Record{
+  InstanceRegistrar Record{
       Dialect, {.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}}, {}};
   Time Now = Start;
 
@@ -47,8 +47,8 @@
 
 } // namespace
 
-class AnnouncerTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(AnnouncerTest);
+class InstanceRegistrarTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(InstanceRegistrarTest);
   CPPUNIT_TEST(leasesWritesAndRenews);
   CPPUNIT_TEST(beginsAnewWhenTheLeaseHasEnded);
   CPPUNIT_TEST(writesAgainWhenTheRecordWasTakenAway);
@@ -67,7 +67,7 @@
     it.announce();
     it.Record.registryRestored();
     expectEqual<std::string>("", it.step(Ok));
-    it.Now += AnnouncerTimes{}.RenewEvery;
+    it.Now += RegistrarTimes{}.RenewInterval;
     section("with its next renewal, by a read that is not old", [&] {
       expectEqual<std::string>("/-/kv-key?key=chicorybank/instances/0.0.0.1",
                                it.step(Ok, record(false)));
@@ -75,14 +75,14 @@
     });
     section("a record that is lost is written anew", [&] {
       it.Record.registryRestored();
-      it.Now += AnnouncerTimes{}.RenewEvery;
+      it.Now += RegistrarTimes{}.RenewInterval;
       it.step(404);
       expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
       expectEqual<std::string>("/-/kv-txn", it.step(Ok));
     });
     section("and one that leaves meanwhile sends no lease", [&] {
       it.Record.registryRestored();
-      expectTrue(!it.Record.end(), "it may be another's");
+      expectTrue(!it.Record.leave(), "it may be another's");
     });
   }
 
@@ -113,7 +113,7 @@
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":5})"));
     expectEqual<std::string>("/-/kv-txn", it.step(Ok));
     expectEqual<std::string>("", it.step(Ok));
-    it.Now += AnnouncerTimes{}.RenewEvery;
+    it.Now += RegistrarTimes{}.RenewInterval;
     expectEqual<std::string>("/-/kv-keep/5", it.step(Ok));
   }
 
@@ -123,7 +123,7 @@
   void beginsAnewWhenTheLeaseHasEnded() {
     Announcing it;
     it.announce();
-    it.Now += AnnouncerTimes{}.RenewEvery;
+    it.Now += RegistrarTimes{}.RenewInterval;
     expectEqual<std::string>("/-/kv-keep/5", it.step(404));
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
   }
@@ -135,10 +135,10 @@
     Announcing it;
     it.announce();
     it.Now += 1s;
-    it.Record.seen(nullptr, it.Now);
+    it.Record.checkRecord(nullptr, it.Now);
     expectEqual<std::string>("", it.step(Ok));
     it.Now += 3100ms;
-    it.Record.seen(nullptr, it.Now);
+    it.Record.checkRecord(nullptr, it.Now);
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
   }
 
@@ -151,7 +151,7 @@
     Announcing it;
     it.announce();
     it.Now += 4200ms;
-    it.Record.seen(nullptr, it.Now - 4100ms);
+    it.Record.checkRecord(nullptr, it.Now - 4100ms);
     expectEqual<std::string>("", it.step(Ok));
   }
 
@@ -168,10 +168,10 @@
 
   void saysThatItLeaves() {
     Announcing it;
-    expectTrue(!it.Record.end(), "there is none");
+    expectTrue(!it.Record.leave(), "there is none");
     Announcing other;
     other.announce();
-    auto last = other.Record.end();
+    auto last = other.Record.leave();
     expectEqual<std::string>("/-/kv-txn", last->Target);
     section("its record says that it leaves, and goes with its lease", [&] {
       PeerRecord self{.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}};
@@ -186,7 +186,8 @@
       Announcing early;
       early.fresh();
       early.step(Ok, R"({"lease":6})");
-      expectEqual<std::string>("/-/kv-lease-end/6", early.Record.end()->Target);
+      expectEqual<std::string>("/-/kv-lease-end/6",
+                               early.Record.leave()->Target);
     });
   }
 
@@ -197,7 +198,7 @@
     Announcing it;
     expectEqual<std::string>(OwnRecord, it.step(Ok, record(false)));
     expectEqual<std::string>("/-/kv-keep/9", it.step(Ok));
-    it.Now += AnnouncerTimes{}.RenewEvery;
+    it.Now += RegistrarTimes{}.RenewInterval;
     expectEqual<std::string>("/-/kv-keep/9", it.step(Ok));
   }
 
@@ -216,7 +217,7 @@
       leaving.Leaving = true;
       late.Now += 4s;
       late.step(Ok);
-      late.Record.seen(&leaving, late.Now);
+      late.Record.checkRecord(&leaving, late.Now);
       expectEqual<std::string>("/-/kv-txn", late.step(Ok));
     });
   }
@@ -241,4 +242,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(AnnouncerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(InstanceRegistrarTest);
--- a/tests/NewsReaderTest.cpp
+++ b/tests/NewsReaderTest.cpp
@@ -74,15 +74,15 @@
     Reading two;
     one.step(store);
     two.step(store);
-    two.Reader.setPatience(1s, 1s);
+    two.Reader.setStalenessLimit(1s, 1s);
     for (int n = 0; n < 10; ++n) {
       one.Now += 600ms;
       two.Now = one.Now;
       store.server(1, "ready", n + 2);
       store.config(n + 1);
       one.step(store);
-      NewsPush push = one.Reader.push(InstanceId{1},
-                                      two.Reader.mirror().position(), one.Now);
+      UpdatePush push = one.Reader.push(
+          InstanceId{1}, two.Reader.mirror().position(), one.Now);
       expectTrue(!two.Reader.takePush(push, false, two.Now, two.Events),
                  "the push is enough");
       expectEqual<std::string>("", two.step(store));
@@ -279,7 +279,7 @@
       slept.fail(Gone);
       slept.step(store);
       saw.Now = slept.Now;
-      NewsPush push = slept.Reader.push(
+      UpdatePush push = slept.Reader.push(
           InstanceId{2}, saw.Reader.mirror().position(), saw.Now);
       saw.take<token::BackendsLearned>();
       saw.Reader.takePush(push, false, saw.Now, saw.Events);
@@ -288,7 +288,7 @@
                  "server 2 is back");
     });
     section("a copy that differs all the same is not copied", [&] {
-      NewsPush push =
+      UpdatePush push =
           slept.Reader.push(InstanceId{2}, store.position(), saw.Now);
       push.Digest ^= 1;
       saw.Now += 2s;
@@ -312,7 +312,7 @@
     for (int n = 0; n < 10; ++n) {
       reading.Now += 500ms;
       peer.Now = reading.Now;
-      NewsPush push =
+      UpdatePush push =
           peer.Reader.push(InstanceId{2}, store.position(), reading.Now);
       push.Age = 0s;
       push.Digest ^= n % 2 == 0 ? 1 : 0;
@@ -329,7 +329,7 @@
     reading.step(store);
     Time before = reading.Reader.currentAt();
     reading.Now += 300ms;
-    NewsPush push{.Sender = InstanceId{2}, .Base = store.position()};
+    UpdatePush push{.Sender = InstanceId{2}, .Base = store.position()};
     push.Page.At = store.position();
     push.Page.At.Revision += 5;
     push.Complete = false;
@@ -355,7 +355,7 @@
     store.server(1);
     Reading reading;
     reading.step(store);
-    reading.Reader.setPatience(10s, 1s);
+    reading.Reader.setStalenessLimit(10s, 1s);
     reading.Now += 100ms;
     expectEqual<std::string>("", reading.step(store));
     store.config(7);
@@ -376,7 +376,7 @@
     store.config(4);
     store.server(1);
     auto pushed = [&] {
-      NewsPush push{.Sender = InstanceId{2}};
+      UpdatePush push{.Sender = InstanceId{2}};
       push.Page.At = store.position();
       return push;
     };
@@ -384,7 +384,7 @@
     expectTrue(!reading.Reader.needsSeed(pushed()),
                "the registry is asked first");
     section("unless a sender's stale news shows that it is away", [&] {
-      NewsPush stale = pushed();
+      UpdatePush stale = pushed();
       stale.Age = 1600ms;
       expectTrue(reading.Reader.needsSeed(stale), "no need to wait");
     });
@@ -403,7 +403,7 @@
                  "it may tell others who start");
     });
     section("its own pushes can be read, and serve those that start", [&] {
-      NewsPush own = reading.Reader.push(InstanceId{3}, {}, reading.Now);
+      UpdatePush own = reading.Reader.push(InstanceId{3}, {}, reading.Now);
       auto read = decodePush(encodePush(own));
       expectTrue(read.has_value(), "however old its news is");
       expectTrue(Reading().Reader.needsSeed(*read), "another one starts");
@@ -434,7 +434,7 @@
     reading.step(store);
     Time before = reading.Reader.currentAt();
     reading.Now += 4s;
-    NewsPush push = reading.Reader.push(InstanceId{2}, {}, reading.Now);
+    UpdatePush push = reading.Reader.push(InstanceId{2}, {}, reading.Now);
     push.Age = 10ms;
     reading.Reader.takePush(push, true, reading.Now, reading.Events);
     expectTrue(reading.Reader.currentAt() == before, "no proof");
@@ -513,8 +513,8 @@
     Reading reading;
     reading.start(store);
     reading.take<token::BackendsLearned>();
-    NewsPush push = peer.Reader.push(InstanceId{1},
-                                     peer.Reader.mirror().position(), peer.Now);
+    UpdatePush push = peer.Reader.push(
+        InstanceId{1}, peer.Reader.mirror().position(), peer.Now);
     expectTrue(
         !reading.Reader.takePush(push, true, reading.Now, reading.Events),
         "not from one that may have waited for long");
@@ -553,7 +553,7 @@
       reading.Now += 1s;
       store.server(static_cast<uint64_t>(n));
       peer.step(store);
-      NewsPush push = peer.Reader.push(InstanceId{1}, at(n), peer.Now);
+      UpdatePush push = peer.Reader.push(InstanceId{1}, at(n), peer.Now);
       push.Age = 100ms;
       push.Complete = false;
       push.Page.Items.clear();
@@ -571,7 +571,7 @@
       peer.Now += 1s;
       store.server(7);
       peer.step(store);
-      NewsPush push = peer.Reader.push(InstanceId{1}, at(7), peer.Now);
+      UpdatePush push = peer.Reader.push(InstanceId{1}, at(7), peer.Now);
       push.Complete = false;
       reading.Now += 1s;
       reading.Reader.takePush(push, true, reading.Now, reading.Events);
@@ -682,7 +682,7 @@
   void waitsForNewsAfterAnOldList() {
     Store store = withDirectory();
     Reading reading;
-    reading.Reader.setPatience(1500ms, 1s);
+    reading.Reader.setStalenessLimit(1500ms, 1s);
     reading.start(store);
     reading.Now += 100ms;
     reading.stepOnce(store);
@@ -756,7 +756,8 @@
     store.server(1, "ready", 2);
     Reading late;
     late.step(store);
-    NewsPush push = late.Reader.push(InstanceId{2}, store.position(), late.Now);
+    UpdatePush push =
+        late.Reader.push(InstanceId{2}, store.position(), late.Now);
     expectTrue(push.Base > early.Reader.mirror().position(), "a gap");
     early.Now += 100ms;
     early.take<token::NewsChecked>();
@@ -769,7 +770,7 @@
       store.server(1, "draining");
       Reading third;
       third.step(store);
-      NewsPush drained =
+      UpdatePush drained =
           third.Reader.push(InstanceId{3}, store.position(), third.Now);
       expectTrue(early.Reader.takePush(drained, false, early.Now, early.Events),
                  "the change is missing");
@@ -786,7 +787,7 @@
     store.server(1);
     Reading reading;
     reading.step(store);
-    reading.Reader.setPatience(1500ms, 1s);
+    reading.Reader.setStalenessLimit(1500ms, 1s);
     Reading first;
     first.step(store);
     auto failing = [&] {
@@ -796,7 +797,7 @@
       first.Now = reading.Now;
     };
     failing();
-    NewsPush push =
+    UpdatePush push =
         first.Reader.push(InstanceId{2}, store.position(), first.Now);
     push.Age = 100ms;
     reading.Reader.takePush(push, false, reading.Now, reading.Events);
--- a/tests/RemindersTest.cpp
+++ b/tests/OutageGossipTest.cpp
@@ -1,6 +1,6 @@
-#include "chicorybank/edge/Reminders.h"
+#include "chicorybank/edge/OutageGossip.h"
 
-#include "chicorybank/edge/NewsSpread.h"
+#include "chicorybank/edge/PropagationTree.h"
 
 #include "Story.h"
 
@@ -38,14 +38,14 @@
 }
 
 /// Those that a fresh copy would tell at a time.
-std::vector<Address> formerOf(Reminders it, Time now) {
+std::vector<Address> formerOf(OutageGossip it, Time now) {
   return it.dueFormer(true, now);
 }
 
 } // namespace
 
-class RemindersTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(RemindersTest);
+class OutageGossipTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(OutageGossipTest);
   CPPUNIT_TEST(remindsWhileTheRegistryIsAway);
   CPPUNIT_TEST(remembersWhoHasLeft);
   CPPUNIT_TEST(knowsWhoLeftBeforeItStarted);
@@ -62,7 +62,7 @@
   void knowsWhoLeftBeforeItStarted() {
     auto some = peers({1, 2});
     some[InstanceId{2}].Leaving = true;
-    Reminders it(Self, "a");
+    OutageGossip it(Self, "a");
     it.learn(some, Start);
     expectTrue(formerOf(it, Start) == std::vector{Address{2, 7}}, "it leaves");
     it.learn(peers({1}), Start + 8s);
@@ -73,19 +73,19 @@
   }
 
   void keepsThePlacesOfThoseWhoseRecordsLapse() {
-    Reminders it(Self, "a");
+    OutageGossip it(Self, "a");
     auto all = peers({1, 2, 3});
     it.learn(all, Start);
-    expectTrue(it.placed(Start) == all, "the registered ones");
+    expectTrue(it.treeMembers(Start) == all, "the registered ones");
     it.learn(peers({1, 3}), Start + 1s);
-    expectTrue(it.placed(Start + 13s) == all, "one has lapsed");
-    expectTrue(it.placed(Start + 14s) == peers({1, 3}), "for a while");
+    expectTrue(it.treeMembers(Start + 13s) == all, "one has lapsed");
+    expectTrue(it.treeMembers(Start + 14s) == peers({1, 3}), "for a while");
     section("one that left as planned", [&] {
       auto leaving = peers({1, 3});
       leaving[InstanceId{3}].Leaving = true;
       it.learn(leaving, Start + 20s);
       it.learn(peers({1}), Start + 21s);
-      expectTrue(it.placed(Start + 21s) == peers({1}), "has no place");
+      expectTrue(it.treeMembers(Start + 21s) == peers({1}), "has no place");
     });
   }
 
@@ -95,14 +95,14 @@
   void tellsThoseWhomTheRegistryTurnsAway() {
     for (uint32_t size : {300U, 600U}) {
       auto [ids, registered] = everyThirdLapsed(size);
-      Reminders it(Self, "a");
+      OutageGossip it(Self, "a");
       it.learn(peers(ids), Start);
       it.learn(peers(registered), Start + 1s);
-      auto placed = it.placed(Start + 2s);
+      auto placed = it.treeMembers(Start + 2s);
       std::set<uint32_t> reached{1};
       std::vector<uint32_t> wave{1};
       while (!wave.empty()) {
-        NewsSpread spread({.Self = InstanceId{wave.back()}, .Zone = "a"});
+        PropagationTree spread({.Self = InstanceId{wave.back()}, .Zone = "a"});
         bool asked = wave.back() == 1;
         wave.pop_back();
         spread.learn(placed);
@@ -125,12 +125,12 @@
       std::map<uint32_t, Duration> firstAfter;
       int sentMost = 0;
       for (uint32_t self : registered) {
-        Reminders it(InstanceId{self}, "a");
+        OutageGossip it(InstanceId{self}, "a");
         it.learn(peers(ids), Start);
         it.learn(peers(registered), Start);
         int sent = 0;
         for (Time now = Start; now < Start + 1s * Seconds; now += 100ms) {
-          std::vector<Address> told = it.due(true, now);
+          std::vector<Address> told = it.dueRegistered(true, now);
           for (Address to : it.dueFormer(true, now))
             told.push_back(to);
           sent += static_cast<int>(told.size());
@@ -153,12 +153,13 @@
   }
 
   void remindsWhileTheRegistryIsAway() {
-    Reminders it(Self, "a");
+    OutageGossip it(Self, "a");
     it.learn(peers({1}), Start);
-    expectTrue(it.due(false, Start).empty(), "all is well");
-    expectTrue(it.due(true, Start) == std::vector{Address{1, 7}}, "away");
-    expectTrue(it.due(true, Start + 600ms).empty(), "a moment ago");
-    expectTrue(!it.due(true, Start + 700ms).empty(), "again");
+    expectTrue(it.dueRegistered(false, Start).empty(), "all is well");
+    expectTrue(it.dueRegistered(true, Start) == std::vector{Address{1, 7}},
+               "away");
+    expectTrue(it.dueRegistered(true, Start + 600ms).empty(), "a moment ago");
+    expectTrue(!it.dueRegistered(true, Start + 700ms).empty(), "again");
     expectTrue(it.nextAt(false) == Time::max(), "nothing is due");
     expectTrue(it.nextAt(true) == Start + 1400ms, "the next one");
     section("those that have left are told more often", [&] {
@@ -177,7 +178,7 @@
   // at the same address.
   // Cause: only those with a record were told.
   void remembersWhoHasLeft() {
-    Reminders it(Self, "a");
+    OutageGossip it(Self, "a");
     it.learn(peers({1, 2}), Start);
     expectTrue(formerOf(it, Start).empty(), "nobody has");
     it.learn(peers({1}), Start + 1s);
@@ -188,4 +189,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RemindersTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(OutageGossipTest);
--- a/tests/PeerMessagesTest.cpp
+++ b/tests/PeerMessagesTest.cpp
@@ -23,9 +23,9 @@
 
 /// Registrations of so many servers that have just started, as they stand in
 /// the registry.
-NewsPush registrations(size_t count) {
+UpdatePush registrations(size_t count) {
   std::mt19937_64 random(2);
-  NewsPush out{.Sender = InstanceId{7}};
+  UpdatePush out{.Sender = InstanceId{7}};
   out.Page.At.Revision = 100'000;
   for (size_t n = 0; n < count; ++n) {
     std::array<char, 11> id{};
@@ -46,11 +46,11 @@
   return out;
 }
 
-NewsPush sample(size_t valueBytes) {
-  NewsPush out{.Sender = InstanceId{7},
-               .Age = 12ms,
-               .Base = {.Generation = Generation{3}, .Revision = 40},
-               .Digest = 0xfedcba9876543210};
+UpdatePush sample(size_t valueBytes) {
+  UpdatePush out{.Sender = InstanceId{7},
+                 .Age = 12ms,
+                 .Base = {.Generation = Generation{3}, .Revision = 40},
+                 .Digest = 0xfedcba9876543210};
   out.Page.At = {.Generation = Generation{3}, .Revision = 42};
   out.Page.Items = {{.Key = "servers/i-1",
                      .Value = noise(valueBytes),
@@ -110,7 +110,7 @@
 
   void leavesOutWhatDoesNotFit() {
     std::string bytes = encodePush(sample(2000));
-    expectTrue(bytes.size() <= MaxPeerMessage, "one datagram");
+    expectTrue(bytes.size() <= MaxDatagramBytes, "one datagram");
     auto out = decodePush(bytes);
     expectTrue(out && !out->Complete && out->Page.Items.empty(),
                "the receiver has to ask");
@@ -120,12 +120,12 @@
   }
 
   void splitsWhatIsTooLargeForADatagram() {
-    NewsPush push = sample(5000);
+    UpdatePush push = sample(5000);
     auto datagrams = encodeDatagrams(push, 3, 1);
     expectTrue(datagrams.size() > 1, "several");
     std::string whole;
     for (const std::string &it : datagrams) {
-      expectTrue(it.size() <= MaxPeerMessage, "one datagram each");
+      expectTrue(it.size() <= MaxDatagramBytes, "one datagram each");
       auto message = decodeDatagram(it);
       expectTrue(message && std::holds_alternative<Fragment>(*message),
                  "a fragment");
@@ -138,7 +138,7 @@
       auto one = encodeDatagrams(sample(10), 4, 1);
       expectEqual<size_t>(1, one.size());
       auto message = decodeDatagram(one[0]);
-      expectTrue(message && std::holds_alternative<NewsPush>(*message),
+      expectTrue(message && std::holds_alternative<UpdatePush>(*message),
                  "a push");
     });
   }
@@ -173,7 +173,7 @@
       for (size_t receivers : {1U, 8U, 33U}) {
         auto datagrams = encodeDatagrams(registrations(servers), 1, receivers);
         expectTrue(datagrams.size() == 1 ||
-                       datagrams.size() * receivers <= MaxBurst,
+                       datagrams.size() * receivers <= MaxBurstDatagrams,
                    std::to_string(datagrams.size()) + " datagrams to " +
                        std::to_string(receivers));
       }
@@ -215,12 +215,13 @@
   }
 
   void carriesADoubt() {
-    std::string bytes = encodeDoubt(
+    std::string bytes = encodeUnreachableReport(
         {.Sender = InstanceId{7}, .Backend = token::BackendId{0xfffffffff1}});
     auto message = decodeDatagram(bytes);
-    expectTrue(message && std::holds_alternative<Doubt>(*message), "a doubt");
+    expectTrue(message && std::holds_alternative<UnreachableReport>(*message),
+               "a doubt");
     expectEqual<uint64_t>(0xfffffffff1,
-                          std::get<Doubt>(*message).Backend.Value);
+                          std::get<UnreachableReport>(*message).Backend.Value);
     bytes.pop_back();
     expectTrue(!decodeDatagram(bytes), "a cut one is refused");
   }
--- a/tests/NewsSpreadTest.cpp
+++ b/tests/PropagationTreeTest.cpp
@@ -1,6 +1,6 @@
 // News reaches everybody, and few ask the registry.
 
-#include "chicorybank/edge/NewsSpread.h"
+#include "chicorybank/edge/PropagationTree.h"
 
 #include "Story.h"
 
@@ -29,8 +29,8 @@
   return out;
 }
 
-NewsSpread spreadOf(const PeerRecord &self, const Fleet &all) {
-  NewsSpread out({.Self = self.Id, .Zone = self.Zone});
+PropagationTree spreadOf(const PeerRecord &self, const Fleet &all) {
+  PropagationTree out({.Self = self.Id, .Zone = self.Zone});
   out.learn(all);
   return out;
 }
@@ -62,7 +62,7 @@
 size_t askersAfter(const Fleet &all, const std::set<uint32_t> &dead,
                    InstanceId watcher) {
   constexpr Duration Step = 25ms;
-  std::map<uint32_t, NewsSpread> spreads;
+  std::map<uint32_t, PropagationTree> spreads;
   for (const auto &[id, it] : all)
     if (!dead.contains(id.Value))
       spreads.emplace(id.Value, spreadOf(it, all));
@@ -75,7 +75,7 @@
   };
   std::priority_queue<Act, std::vector<Act>, std::greater<>> acts;
   for (const auto &[id, it] : spreads)
-    acts.push({.At = id == watcher.Value ? 500ms : it.patience(),
+    acts.push({.At = id == watcher.Value ? 500ms : it.stalenessLimit(),
                .Who = id,
                .Asks = true});
   std::set<uint32_t> reached;
@@ -100,8 +100,8 @@
 
 } // namespace
 
-class NewsSpreadTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(NewsSpreadTest);
+class PropagationTreeTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PropagationTreeTest);
   CPPUNIT_TEST(reachesEverybodyInFewSteps);
   CPPUNIT_TEST(reachesOtherZonesWithoutTheirFirst);
   CPPUNIT_TEST(letsOneAskFirst);
@@ -140,21 +140,22 @@
     Fleet all = fleet(1, 60);
     Duration last = Duration::zero();
     for (const auto &[id, it] : all)
-      last = std::max(last, spreadOf(it, all).patience());
-    NewsSpread fresh({.Self = InstanceId{9}, .Zone = "zone-0"});
-    expectTrue(fresh.patience() >= 1500ms, "nobody is known");
+      last = std::max(last, spreadOf(it, all).stalenessLimit());
+    PropagationTree fresh({.Self = InstanceId{9}, .Zone = "zone-0"});
+    expectTrue(fresh.stalenessLimit() >= 1500ms, "nobody is known");
     fresh.learn(all);
-    expectTrue(fresh.patience() >= 1500ms, "others are");
+    expectTrue(fresh.stalenessLimit() >= 1500ms, "others are");
     std::set<Duration> patiences;
     for (uint64_t seed = 1; seed <= 100; ++seed)
       patiences.insert(
-          NewsSpread({.Self = InstanceId{9}, .Zone = "zone-0", .Seed = seed})
-              .patience());
+          PropagationTree(
+              {.Self = InstanceId{9}, .Zone = "zone-0", .Seed = seed})
+              .stalenessLimit());
     expectTrue(*patiences.rbegin() - *patiences.begin() > 700ms,
                "those without a place don't ask at once");
     all[InstanceId{9}] = {.Id = InstanceId{9}, .Zone = "zone-0"};
     fresh.learn(all);
-    expectTrue(fresh.patience() <= last, "it has a place");
+    expectTrue(fresh.stalenessLimit() <= last, "it has a place");
   }
 
   // Symptom: when the registry is back from an outage all instances ask it
@@ -164,11 +165,11 @@
   void keepsTheOrderWhileRecordsLapse() {
     Fleet all = fleet(2, 5);
     const PeerRecord &self = all.begin()->second;
-    NewsSpread spread = spreadOf(self, all);
-    Duration patience = spread.patience();
+    PropagationTree spread = spreadOf(self, all);
+    Duration stalenessLimit = spread.stalenessLimit();
     auto targets = spread.targets(true);
     spread.learn({});
-    expectTrue(spread.patience() == patience, "its place");
+    expectTrue(spread.stalenessLimit() == stalenessLimit, "its place");
     expectTrue(spread.targets(true) == targets, "and whom it tells");
     section("until its own record is back", [&] {
       spread.learn({{self.Id, self}});
@@ -178,11 +179,11 @@
 
   void letsOneAskFirst() {
     Fleet all = fleet(3, 8);
-    std::multiset<Duration> patience;
+    std::multiset<Duration> stalenessLimit;
     for (const auto &[id, it] : all)
-      patience.insert(spreadOf(it, all).patience());
-    expectEqual<size_t>(1, patience.count(500ms));
-    expectTrue(*std::next(patience.begin()) >= 700ms,
+      stalenessLimit.insert(spreadOf(it, all).stalenessLimit());
+    expectEqual<size_t>(1, stalenessLimit.count(500ms));
+    expectTrue(*std::next(stalenessLimit.begin()) >= 700ms,
                "the next one leaves time for a call and a push");
   }
 
@@ -191,7 +192,7 @@
       Fleet all = fleet(*rc::gen::inRange<uint32_t>(1, 20),
                         *rc::gen::inRange<uint32_t>(1, 12));
       for (const auto &[id, it] : all)
-        RC_ASSERT(spreadOf(it, all).patience() <= 2250ms);
+        RC_ASSERT(spreadOf(it, all).stalenessLimit() <= 2250ms);
     });
   }
 
@@ -203,7 +204,7 @@
       Fleet all = fleet(2, each);
       const PeerRecord *watcher = &all.begin()->second;
       for (const auto &[id, it] : all)
-        if (spreadOf(it, all).patience() == 500ms)
+        if (spreadOf(it, all).stalenessLimit() == 500ms)
           watcher = &it;
       expectEqual<size_t>(1, askersAfter(all, {}, watcher->Id));
       auto heads = childrenOf(*watcher, all);
@@ -230,10 +231,10 @@
         most = std::max(most, spreadOf(all.at(InstanceId{0x0a000000 + n}), all)
                                   .targets(false)
                                   .size());
-      expectTrue(most <= NewsSpread::FanOut,
+      expectTrue(most <= PropagationTree::FanOut,
                  "of " + std::to_string(each) + ": " + std::to_string(most));
     }
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NewsSpreadTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PropagationTreeTest);
--- a/tests/RestoreModel.h
+++ b/tests/RestoreModel.h
@@ -10,10 +10,10 @@
 
 #include "RegistrySamples.h"
 
-#include "chicorybank/edge/Announcer.h"
 #include "chicorybank/edge/DirectoryWriter.h"
-#include "chicorybank/edge/NewsSpread.h"
-#include "chicorybank/edge/RouteRecorder.h"
+#include "chicorybank/edge/InstanceRegistrar.h"
+#include "chicorybank/edge/PropagationTree.h"
+#include "chicorybank/edge/RouteHistoryWriter.h"
 
 #include <deque>
 #include <memory>
@@ -163,7 +163,7 @@
                  {.Id = Id, .Zone = zone(n), .Peers = {Id.Value, 7720}}, {}),
           Recorder(Dialect), Directory(Dialect),
           Spread({.Self = Id, .Zone = zone(n), .Seed = seed}), Since(now) {
-      Reader.setPatience(Spread.patience(), Spread.retryMost());
+      Reader.setStalenessLimit(Spread.stalenessLimit(), Spread.retryMax());
     }
     static std::string zone(size_t n) {
       return std::string(1, static_cast<char>('a' + n % 3));
@@ -172,10 +172,10 @@
     std::string Name;
     platform::StoreDialect Dialect;
     NewsReader Reader;
-    Announcer Record;
-    RouteRecorder Recorder;
+    InstanceRegistrar Record;
+    RouteHistoryWriter Recorder;
     DirectoryWriter Directory;
-    NewsSpread Spread;
+    PropagationTree Spread;
     Time Since;
     Time CutUntil;
     Time AloneUntil;
@@ -322,10 +322,10 @@
         it.Reader.complete() && !it.Reader.away(Now) && it.Reader.settled();
     if (!mayWrite)
       return;
-    if (auto call = it.Recorder.next(it.Spread.patience(), Now))
+    if (auto call = it.Recorder.next(it.Spread.stalenessLimit(), Now))
       it.Recorder.answered(change(it, *call), Now);
-    if (auto call =
-            it.Directory.next(it.Reader.mirror(), it.Spread.patience(), Now))
+    if (auto call = it.Directory.next(it.Reader.mirror(),
+                                      it.Spread.stalenessLimit(), Now))
       it.Directory.answered(change(it, *call), Now);
   }
 
@@ -372,15 +372,16 @@
     if (it.Reader.peers() != it.Known) {
       it.Known = it.Reader.peers();
       it.Spread.learn(it.Known);
-      it.Reader.setPatience(it.Spread.patience(), it.Spread.retryMost());
+      it.Reader.setStalenessLimit(it.Spread.stalenessLimit(),
+                                  it.Spread.retryMax());
     }
     auto own = it.Known.find(it.Id);
-    it.Record.seen(own == it.Known.end() ? nullptr : &own->second,
-                   it.Reader.currentAt());
+    it.Record.checkRecord(own == it.Known.end() ? nullptr : &own->second,
+                          it.Reader.currentAt());
     if (const token::RouteSet *now = it.Reader.mirror().routes(); now && routes)
       it.Recorder.learn(*now, Now);
     if (routes)
-      it.Recorder.learn(it.Reader.routeRecords(), 60s, Now);
+      it.Recorder.learn(it.Reader.routeHistory(), 60s, Now);
     it.Directory.learn(it.Reader.mirror(), it.Reader.directoryNote(), Now);
   }
 
@@ -408,7 +409,7 @@
       return;
     if (from.PushedTo == Position{})
       from.PushedTo = from.Reader.mirror().position();
-    NewsPush push = from.Reader.push(from.Id, from.PushedTo, Now);
+    UpdatePush push = from.Reader.push(from.Id, from.PushedTo, Now);
     from.PushedTo = from.Reader.mirror().position();
     from.PushedAsOf = from.Reader.currentAt();
     for (Address target : from.Spread.targets(asked))
@@ -420,7 +421,7 @@
     return Now >= a.AloneUntil && Now >= b.AloneUntil && Now >= b.FrozenUntil;
   }
 
-  void receive(Instance &it, Instance &from, const NewsPush &push) {
+  void receive(Instance &it, Instance &from, const UpdatePush &push) {
     std::vector<token::Event> events;
     if (it.Reader.needsSeed(push)) {
       it.Reader.takeSeed(from.Reader.mirror().whole(), events);
--- a/tests/RestoreTest.cpp
+++ b/tests/RestoreTest.cpp
@@ -198,7 +198,7 @@
     it.pass(1s);
     it.Reader.Events.clear();
     it.Reader.Now += 100ms;
-    NewsPush push = former.Reader.push(InstanceId{9}, {}, it.Reader.Now);
+    UpdatePush push = former.Reader.push(InstanceId{9}, {}, it.Reader.Now);
     push.Age = 1ms;
     expectTrue(!it.Reader.Reader.takePush(push, false, it.Reader.Now,
                                           it.Reader.Events),
@@ -206,7 +206,8 @@
     expectTrue(it.Reader.take<token::NewsChecked>().empty(), "no proof");
     expectEqual<uint64_t>(1, it.Reader.Reader.stats().OtherGenerations);
     section("the other way round, everything has to be read", [&] {
-      NewsPush later = it.Reader.Reader.push(InstanceId{8}, {}, it.Reader.Now);
+      UpdatePush later =
+          it.Reader.Reader.push(InstanceId{8}, {}, it.Reader.Now);
       expectTrue(
           former.Reader.takePush(later, false, it.Reader.Now, former.Events),
           "from the sender");
--- a/tests/RouteLedgerTest.cpp
+++ b/tests/RouteHistoryTest.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/RouteLedger.h"
+#include "chicorybank/edge/RouteHistory.h"
 
 #include "Story.h"
 
@@ -26,17 +26,19 @@
   return out;
 }
 
-std::vector<ServiceId> servicesOf(const std::vector<RouteRecord> &records) {
+std::vector<ServiceId>
+servicesOf(const std::vector<RouteHistoryPart> &records) {
   std::vector<ServiceId> out;
-  for (const RouteRecord &it : records)
+  for (const RouteHistoryPart &it : records)
     for (const token::RoutePair &pair : it.Pairs)
       out.push_back(pair.Service);
   return out;
 }
 
 /// Writes records as the registry would.
-void store(const std::vector<RouteRecord> &records, RouteRecords &stored) {
-  for (RouteRecord it : records) {
+void store(const std::vector<RouteHistoryPart> &records,
+           RouteHistoryParts &stored) {
+  for (RouteHistoryPart it : records) {
     ++it.At.Revision;
     stored[it.Part] = it;
   }
@@ -44,8 +46,8 @@
 
 } // namespace
 
-class RouteLedgerTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(RouteLedgerTest);
+class RouteHistoryTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RouteHistoryTest);
   CPPUNIT_TEST(recordsWhatRoutesLeadTo);
   CPPUNIT_TEST(knowsAfterARestartWhatAVersionBeforeItLedTo);
   CPPUNIT_TEST(writesNothingForWhatIsStale);
@@ -68,39 +70,42 @@
                               .Services = {{.Service = Records}}});
       return out;
     };
-    expectEqual<uint32_t>(1, RouteLedger::partsFor(255));
-    expectEqual<uint32_t>(2, RouteLedger::partsFor(256));
-    expectEqual<uint32_t>(RouteRecordParts, RouteLedger::partsFor(5'700));
-    expectEqual<uint32_t>(RouteRecordParts, RouteLedger::partsFor(34'000));
-    RouteLedger ledger;
-    RouteRecords stored;
+    expectEqual<uint32_t>(1, RouteHistory::partCount(255));
+    expectEqual<uint32_t>(2, RouteHistory::partCount(256));
+    expectEqual<uint32_t>(MaxRouteHistoryParts, RouteHistory::partCount(5'700));
+    expectEqual<uint32_t>(MaxRouteHistoryParts,
+                          RouteHistory::partCount(34'000));
+    RouteHistory ledger;
+    RouteHistoryParts stored;
     uint32_t most = 0;
     uint64_t version = 0;
     for (uint32_t count : {200U, 400U, 5'700U, 100U}) {
       most = std::max(most, count);
       ledger.learn(many(++version, count), Start);
-      store(ledger.missingFrom(stored, FlowAge, Start), stored);
-      expectTrue(ledger.missingFrom(stored, FlowAge, Start).empty(), "whole");
-      RouteLedger started;
+      store(ledger.incompleteParts(stored, FlowAge, Start), stored);
+      expectTrue(ledger.incompleteParts(stored, FlowAge, Start).empty(),
+                 "whole");
+      RouteHistory started;
       started.learn(stored, FlowAge, Start);
       expectEqual<size_t>(
-          most, servicesOf(started.missingFrom({}, FlowAge, Start)).size());
+          most, servicesOf(started.incompleteParts({}, FlowAge, Start)).size());
     }
   }
 
   void recordsWhatRoutesLeadTo() {
-    RouteLedger ledger;
+    RouteHistory ledger;
     ledger.learn(routes(1, {Records}), Start);
-    auto missing = ledger.missingFrom({}, FlowAge, Start);
+    auto missing = ledger.incompleteParts({}, FlowAge, Start);
     expectEqual<size_t>(1, missing.size());
-    expectEqual(RouteLedger::partOf(Feed, 1), missing[0].Part);
+    expectEqual(RouteHistory::partOf(Feed, 1), missing[0].Part);
     expectEqual<int64_t>(0, missing[0].At.Revision);
-    RouteRecords stored;
+    RouteHistoryParts stored;
     store(missing, stored);
-    expectTrue(ledger.missingFrom(stored, FlowAge, Start).empty(), "it stands");
+    expectTrue(ledger.incompleteParts(stored, FlowAge, Start).empty(),
+               "it stands");
     section("a new service at the address rewrites its part", [&] {
       ledger.learn(routes(2, {Records, Certificates}), Start);
-      auto more = ledger.missingFrom(stored, FlowAge, Start);
+      auto more = ledger.incompleteParts(stored, FlowAge, Start);
       expectTrue(servicesOf(more) == std::vector{Records, Certificates},
                  "both");
       expectEqual<int64_t>(1, more[0].At.Revision);
@@ -112,41 +117,41 @@
   // processes end with the change, so that none saw both versions.
   // Cause: what the route led to was known to processes alone.
   void knowsAfterARestartWhatAVersionBeforeItLedTo() {
-    RouteRecords stored;
-    RouteLedger before;
+    RouteHistoryParts stored;
+    RouteHistory before;
     before.learn(routes(1, {Records}), Start);
-    store(before.missingFrom(stored, FlowAge, Start), stored);
-    RouteLedger after;
+    store(before.incompleteParts(stored, FlowAge, Start), stored);
+    RouteHistory after;
     after.learn(routes(2, {Certificates}), Start + 1s);
     after.learn(stored, FlowAge, Start + 1s);
-    auto missing = after.missingFrom(stored, FlowAge, Start + 1s);
+    auto missing = after.incompleteParts(stored, FlowAge, Start + 1s);
     expectTrue(servicesOf(missing) == std::vector{Certificates, Records},
                "the old one stays beside the new");
   }
 
   void writesNothingForWhatIsStale() {
-    RouteRecords stored;
-    RouteLedger ledger;
+    RouteHistoryParts stored;
+    RouteHistory ledger;
     ledger.learn(routes(1, {Records}), Start);
-    store(ledger.missingFrom(stored, FlowAge, Start), stored);
+    store(ledger.incompleteParts(stored, FlowAge, Start), stored);
     ledger.learn(routes(2, {}), Start);
-    expectTrue(ledger.missingFrom(stored, FlowAge, Start + 1h).empty(),
+    expectTrue(ledger.incompleteParts(stored, FlowAge, Start + 1h).empty(),
                "a pair too many costs nothing");
   }
 
   void forgetsWithTheLongestLifeOfAFlow() {
-    RouteRecords stored;
-    RouteLedger ledger;
+    RouteHistoryParts stored;
+    RouteHistory ledger;
     ledger.learn(routes(1, {Records}), Start);
-    store(ledger.missingFrom(stored, FlowAge, Start), stored);
+    store(ledger.incompleteParts(stored, FlowAge, Start), stored);
     ledger.learn(routes(2, {Certificates}), Start);
     section("the next write leaves out what no flow can need", [&] {
-      auto missing = ledger.missingFrom(stored, FlowAge, Start + 61s);
+      auto missing = ledger.incompleteParts(stored, FlowAge, Start + 61s);
       expectTrue(servicesOf(missing) == std::vector{Certificates}, "alone");
       section("and reading the old record does not bring it back", [&] {
         ledger.learn(stored, FlowAge, Start + 61s);
         expectTrue(
-            servicesOf(ledger.missingFrom(stored, FlowAge, Start + 61s)) ==
+            servicesOf(ledger.incompleteParts(stored, FlowAge, Start + 61s)) ==
                 std::vector{Certificates},
             "still alone");
       });
@@ -154,37 +159,38 @@
   }
 
   void boundsWhatOneAddressHasLost() {
-    RouteLedger ledger;
+    RouteHistory ledger;
     for (uint32_t n = 1; n <= 100; ++n)
       ledger.learn(routes(n, {ServiceId{n}}), Start + n * 1s);
-    auto missing = ledger.missingFrom({}, 1h, Start + 100s);
+    auto missing = ledger.incompleteParts({}, 1h, Start + 100s);
     auto services = servicesOf(missing);
-    expectEqual<size_t>(RouteLedger::MostLost + 1, services.size());
-    expectEqual<uint32_t>(100 - RouteLedger::MostLost, services.front().Value);
+    expectEqual<size_t>(RouteHistory::MaxFormerServices + 1, services.size());
+    expectEqual<uint32_t>(100 - RouteHistory::MaxFormerServices,
+                          services.front().Value);
   }
 
   void ignoresOlderVersions() {
-    RouteLedger ledger;
+    RouteHistory ledger;
     ledger.learn(routes(7, {Records}), Start);
     ledger.learn(routes(5, {Certificates}), Start);
-    expectTrue(servicesOf(ledger.missingFrom({}, FlowAge, Start)) ==
+    expectTrue(servicesOf(ledger.incompleteParts({}, FlowAge, Start)) ==
                    std::vector{Records},
                "the newest decides");
   }
 
   void writesAgainWhatWasTakenAway() {
-    RouteLedger ledger;
-    RouteRecords stored;
+    RouteHistory ledger;
+    RouteHistoryParts stored;
     ledger.learn(routes(1, {Records}), Start);
-    store(ledger.missingFrom(stored, FlowAge, Start), stored);
+    store(ledger.incompleteParts(stored, FlowAge, Start), stored);
     ledger.learn(stored, FlowAge, Start);
-    stored[RouteLedger::partOf(Feed, 1)] = {.Part =
-                                                RouteLedger::partOf(Feed, 1)};
+    stored[RouteHistory::partOf(Feed, 1)] = {.Part =
+                                                 RouteHistory::partOf(Feed, 1)};
     ledger.learn(stored, FlowAge, Start);
-    auto missing = ledger.missingFrom(stored, FlowAge, Start);
+    auto missing = ledger.incompleteParts(stored, FlowAge, Start);
     expectEqual<size_t>(1, missing.size());
     expectEqual<int64_t>(0, missing[0].At.Revision);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RouteLedgerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RouteHistoryTest);
--- a/tests/RouteRecorderTest.cpp
+++ b/tests/RouteHistoryWriterTest.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/RouteRecorder.h"
+#include "chicorybank/edge/RouteHistoryWriter.h"
 
 #include "RegistrySamples.h"
 #include "Story.h"
@@ -40,7 +40,7 @@
 class Deployment {
 public:
   token::RouteSet Routes = routes(1, std::vector<uint32_t>(Addresses, 0));
-  RouteRecords Records;
+  RouteHistoryParts Records;
 
   void move(uint32_t address, uint32_t service) {
     To[address] = service;
@@ -76,7 +76,7 @@
     Findings findings;
     News news = Dialect.translate(page->Items.at(0), findings);
     expectTrue(findings.empty(), "what is written can be read");
-    auto record = std::get<RouteRecord>(news);
+    auto record = std::get<RouteHistoryPart>(news);
     Records[record.Part] = record;
   }
 
@@ -86,7 +86,7 @@
 
 /// One instance: what it may forward, and what it records.
 struct Instance {
-  RouteRecorder Recorder{Dialect};
+  RouteHistoryWriter Recorder{Dialect};
   token::RouteTable Table{FlowAge};
 
   /// Reads the store's content, the record first, as a list has it.
@@ -104,8 +104,8 @@
 
 } // namespace
 
-class RouteRecorderTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(RouteRecorderTest);
+class RouteHistoryWriterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RouteHistoryWriterTest);
   CPPUNIT_TEST(writesWhatHasSettled);
   CPPUNIT_TEST(leavesItToWhoeverStandsBefore);
   CPPUNIT_TEST(writesAloneWhileRoutesGoOnChanging);
@@ -306,4 +306,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RouteRecorderTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RouteHistoryWriterTest);
--- a/tests/WriteTurnTest.cpp
+++ b/tests/StaggeredWriteTest.cpp
@@ -1,6 +1,6 @@
 // Whose turn it is to write what any instance could write.
 
-#include "chicorybank/edge/WriteTurn.h"
+#include "chicorybank/edge/StaggeredWrite.h"
 
 #include "RegistrySamples.h"
 #include "Story.h"
@@ -8,8 +8,8 @@
 using namespace story;
 using namespace samples::registry;
 
-class WriteTurnTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(WriteTurnTest);
+class StaggeredWriteTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(StaggeredWriteTest);
   CPPUNIT_TEST(waitsForWhoeverStandsBefore);
   CPPUNIT_TEST(waitsAnewAfterEachWrite);
   CPPUNIT_TEST(triesAgainLater);
@@ -17,15 +17,15 @@
   CPPUNIT_TEST_SUITE_END();
 
   void waitsForWhoeverStandsBefore() {
-    WriteTurn turn;
-    expectTrue(turn.at(500ms) == Time::max(), "nothing is missing");
+    StaggeredWrite turn;
+    expectTrue(turn.dueAt(500ms) == Time::max(), "nothing is missing");
     turn.learn(true, Position{.Revision = 0}, Start);
-    expectTrue(turn.at(500ms) == Start + 2s, "the first in line");
-    expectTrue(turn.at(1500ms) == Start + 4s, "one behind it");
+    expectTrue(turn.dueAt(500ms) == Start + 2s, "the first in line");
+    expectTrue(turn.dueAt(1500ms) == Start + 4s, "one behind it");
     turn.learn(true, Position{.Revision = 0}, Start + 1s);
-    expectTrue(turn.at(500ms) == Start + 2s, "since it has been missing");
+    expectTrue(turn.dueAt(500ms) == Start + 2s, "since it has been missing");
     turn.learn(false, Position{.Revision = 0}, Start + 1s);
-    expectTrue(turn.at(500ms) == Time::max(), "it was written");
+    expectTrue(turn.dueAt(500ms) == Time::max(), "it was written");
   }
 
   // Symptom: in a storm of changes all instances write at once.
@@ -33,45 +33,45 @@
   // and then; those behind count from the first change.
   // Cause: a write that left something missing taken for none.
   void waitsAnewAfterEachWrite() {
-    WriteTurn turn;
+    StaggeredWrite turn;
     for (int n = 0; n < 10; ++n)
       turn.learn(true, Position{.Revision = n / 2}, Start + n * 1s);
-    expectTrue(turn.at(1500ms) == Start + 8s + 4s, "since the last write");
+    expectTrue(turn.dueAt(1500ms) == Start + 8s + 4s, "since the last write");
   }
 
   // Guards against hundreds that write every two seconds where news is late:
   // each write names what its writer knows of the registry.
   void repeatsNoWriteThatWouldBeRefusedAgain() {
     section("the copy has not moved since", [] {
-      WriteTurn turn;
+      StaggeredWrite turn;
       turn.learn(true, Position{.Revision = 7}, Start);
       turn.begin();
       turn.answered({.Status = 412}, Start + 3s);
       turn.learn(true, Position{.Revision = 7}, Start + 4s);
-      expectTrue(turn.at(500ms) == Time::max(), "it waits");
+      expectTrue(turn.dueAt(500ms) == Time::max(), "it waits");
       turn.learn(false, Position{.Revision = 9}, Start + 5s);
       turn.learn(true, Position{.Revision = 9}, Start + 6s);
-      expectTrue(turn.at(500ms) == Start + 8s,
+      expectTrue(turn.dueAt(500ms) == Start + 8s,
                  "for what the other has written");
     });
     section("the copy moved before the refusal came", [] {
-      WriteTurn turn;
+      StaggeredWrite turn;
       turn.learn(true, Position{.Revision = 7}, Start);
       turn.begin();
       turn.learn(true, Position{.Revision = 9}, Start + 1s);
       turn.answered({.Status = 412}, Start + 3s);
-      expectTrue(turn.at(500ms) == Start + 5s, "the next write may hold");
+      expectTrue(turn.dueAt(500ms) == Start + 5s, "the next write may hold");
     });
   }
 
   void triesAgainLater() {
-    WriteTurn turn;
+    StaggeredWrite turn;
     turn.learn(true, Position{.Revision = 0}, Start);
     turn.begin();
-    expectTrue(turn.at(500ms) == Time::max(), "one write at a time");
+    expectTrue(turn.dueAt(500ms) == Time::max(), "one write at a time");
     turn.answered({.Status = 412}, Start + 3s);
     turn.learn(true, Position{.Revision = 1}, Start + 4s);
-    expectTrue(turn.at(500ms) == Start + 6s, "after another one's write");
+    expectTrue(turn.dueAt(500ms) == Start + 6s, "after another one's write");
     turn.begin();
     turn.answered({}, Start + 6s);
     turn.begin();
@@ -82,4 +82,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(WriteTurnTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StaggeredWriteTest);
--- a/tests/StartModel.h
+++ b/tests/StartModel.h
@@ -11,7 +11,7 @@
 
 #include "RegistrySamples.h"
 
-#include "chicorybank/edge/NewsSpread.h"
+#include "chicorybank/edge/PropagationTree.h"
 
 #include <algorithm>
 #include <functional>
@@ -66,7 +66,8 @@
     if (Options.Peers)
       for (const auto &it : Instances) {
         it->Spread.learn(records);
-        it->Reader.setPatience(it->Spread.patience(), it->Spread.retryMost());
+        it->Reader.setStalenessLimit(it->Spread.stalenessLimit(),
+                                     it->Spread.retryMax());
       }
   }
 
@@ -95,7 +96,7 @@
     InstanceId Id;
     platform::StoreDialect Dialect;
     NewsReader Reader;
-    NewsSpread Spread;
+    PropagationTree Spread;
     bool Reads = false;
     bool Complete = false;
     Time StartedAt;
@@ -180,7 +181,7 @@
   void push(Instance &from, bool asked, Time now) {
     if (!from.Reader.mayPassOn())
       return;
-    NewsPush push =
+    UpdatePush push =
         from.Reader.push(from.Id, from.Reader.mirror().position(), now);
     for (Address to : from.Spread.targets(asked)) {
       Instance &it = *Instances[to.Ip - 1];
@@ -190,7 +191,8 @@
     }
   }
 
-  void takePush(Instance &it, Instance &from, const NewsPush &push, Time now) {
+  void takePush(Instance &it, Instance &from, const UpdatePush &push,
+                Time now) {
     Time before = it.Reader.currentAt();
     std::vector<token::Event> events;
     bool behind = it.Reader.takePush(push, false, now, events);
--- a/tests/StoreDialectTest.cpp
+++ b/tests/StoreDialectTest.cpp
@@ -277,27 +277,28 @@
 
   void readsWhatItRecordedOfRoutes() {
     const Address feed{.Ip = 0xc6120001, .Port = 443};
-    RouteRecord record{.Part = 3,
-                       .Pairs = {{feed, ServiceId{7}}, {feed, ServiceId{9}}},
-                       .At = {.Revision = 12}};
+    RouteHistoryPart record{
+        .Part = 3,
+        .Pairs = {{feed, ServiceId{7}}, {feed, ServiceId{9}}},
+        .At = {.Revision = 12}};
     expectEqual<std::string>(
         R"({"expect":[{"key":"chicorybank/routes/3","revision":12}],)"
         R"("puts":[{"key":"chicorybank/routes/3",)"
         R"("value":"eyIxOTguMTguMC4xOjQ0MyI6WzcsOV19","lease":0}],"remove":[]})",
-        Dialect.writeRouteRecords({record}).Body);
+        Dialect.writeRouteHistory({record}).Body);
     Findings findings;
     News news = Dialect.translate({.Key = "chicorybank/routes/3",
                                    .Value = R"({"198.18.0.1:443":[7,9]})",
                                    .At = {.Revision = 12}},
                                   findings);
-    expectTrue(std::get<RouteRecord>(news) == record, "the same");
+    expectTrue(std::get<RouteHistoryPart>(news) == record, "the same");
     section("what can't be read says nothing, the rest holds", [] {
       Findings faults;
       News rest = Dialect.translate(
           {.Key = "chicorybank/routes/3",
            .Value = R"({"x":[1],"198.18.0.1:443":[7,-1,"9",1e30]})"},
           faults);
-      expectEqual<size_t>(1, std::get<RouteRecord>(rest).Pairs.size());
+      expectEqual<size_t>(1, std::get<RouteHistoryPart>(rest).Pairs.size());
       expectEqual<std::string>(
           "chicorybank/routes/3: expected services by IP:port\n",
           faults.text());
--- a/tests/fuzz/peer_message.cpp
+++ b/tests/fuzz/peer_message.cpp
@@ -24,7 +24,7 @@
   if (auto *fragment = std::get_if<Fragment>(&*message)) {
     require(fragment->Index < fragment->Count);
     FragmentAssembler pieces;
-    auto whole = pieces.take(*fragment);
+    auto whole = pieces.add(*fragment);
     require(whole.has_value() == (fragment->Count == 1));
   }
   return 0;
--- a/tests/fuzz/registry_item.cpp
+++ b/tests/fuzz/registry_item.cpp
@@ -25,9 +25,9 @@
     require(findings.empty());
     require(server->Slots > 0 && server->Born >= 0);
   }
-  if (const auto *record = std::get_if<edge::RouteRecord>(&news)) {
-    (void)dialect.writeRouteRecords({*record});
-    require(record->Part < edge::RouteRecordParts);
+  if (const auto *record = std::get_if<edge::RouteHistoryPart>(&news)) {
+    (void)dialect.writeRouteHistory({*record});
+    require(record->Part < edge::MaxRouteHistoryParts);
   }
   return 0;
 }
