--- a/lib/edge/RegistryWriter.cpp
+++ b/lib/edge/RegistryWriter.cpp
@@ -36,7 +36,7 @@
     return announce(std::move(*call));
   if (!mayWriteShared)
     return;
-  if (Settings.Core.Use.RouteRecord)
+  if (Settings.Core.Use.RouteHistory)
     if (auto call = Recorder.next(stalenessLimit, now))
       return recordRoutes(std::move(*call));
   if (auto call = Directory.next(Copy, stalenessLimit, now))
@@ -52,7 +52,7 @@
   Time out = Record.nextAt();
   if (!mayWriteShared)
     return out;
-  if (Settings.Core.Use.RouteRecord)
+  if (Settings.Core.Use.RouteHistory)
     out = std::min(out, Recorder.nextAt(stalenessLimit));
   return std::min(out, Directory.nextAt(stalenessLimit));
 }
@@ -87,7 +87,7 @@
 }
 
 void RegistryWriter::learnRoutes(const token::RouteSet *routes,
-                                 const RouteRecords &stored, Time now) {
+                                 const RouteHistoryParts &stored, Time now) {
   if (routes)
     Recorder.learn(*routes, now);
   Recorder.learn(stored, Settings.Core.MaxFlowAge, now);
@@ -115,7 +115,7 @@
   if (!LeaveFailed)
     return;
   auto failed = std::exchange(LeaveFailed, nullptr);
-  std::optional<RegistryCall> call = Record.end();
+  std::optional<RegistryCall> call = Record.leave();
   if (!call)
     return;
   Calls.call(std::move(*call), CallTimeout,
