--- a/bench/EdgeBench.cpp
+++ b/bench/EdgeBench.cpp
@@ -74,7 +74,7 @@
     learned.Present.push_back(server(id));
   core.handle(learned, now, actions);
   core.handle(token::BackendsComplete{}, now, actions);
-  core.handle(token::NewsChecked{.CurrentAt = now}, now, actions);
+  core.handle(token::FreshnessUpdated{.CurrentAt = now}, now, actions);
   return core;
 }
 
@@ -87,7 +87,7 @@
            actions.clear();
            token::FlowPacket head = packet(n);
            head.Open = true;
-           core.handle(token::PacketSeen{.Head = head, .Raw = raw}, now,
+           core.handle(token::PacketReceived{.Head = head, .Raw = raw}, now,
                        actions);
          }));
 }
@@ -102,7 +102,7 @@
     actions.clear();
     token::FlowPacket head = packet(n % flows);
     head.Echo = token::tokenOf(token::BackendId{1 + n % flows % 20});
-    core.handle(token::PacketSeen{.Head = head, .Raw = raw}, now, actions);
+    core.handle(token::PacketReceived{.Head = head, .Raw = raw}, now, actions);
   };
   nanoseconds(flows, carry);
   report("flow_bytes, by flows", flows,
--- a/include/chicorybank/token/Backends.h
+++ b/include/chicorybank/token/Backends.h
@@ -4,7 +4,7 @@
 #ifndef CHICORYBANK_TOKEN_BACKENDS_H
 #define CHICORYBANK_TOKEN_BACKENDS_H
 
-#include "chicorybank/token/Reach.h"
+#include "chicorybank/token/Reachability.h"
 #include "chicorybank/token/Types.h"
 
 #include <map>
@@ -41,7 +41,7 @@
   /// When this life of the server began, in Unix milliseconds by its clock;
   /// zero where it does not say. A server may start again under its id, and
   /// knows nothing of its former life's flows.
-  int64_t Born = 0;
+  int64_t StartedAtMs = 0;
   /// How much longer it is slow after its start, when it wrote this.
   Duration WarmUpLeft = Duration::zero();
 
@@ -49,7 +49,7 @@
 };
 
 /// What is believed of a backend server.
-enum class Standing : uint8_t {
+enum class BackendState : uint8_t {
   Ready,
   Draining,
   Missing, ///< Its registration is gone, but that may be the registry's fault.
@@ -60,7 +60,7 @@
 /// One backend server.
 struct Backend {
   Registration Info;
-  Standing State = Standing::Ready;
+  BackendState State = BackendState::Ready;
   /// When it went missing or gone.
   Time LostAt;
   /// Requests in progress that this instance sent, openings that are not yet
@@ -78,12 +78,14 @@
   /// The operators drain its zone.
   bool ZoneDrained = false;
   /// Until when it warms up, and when it may next get a flow meanwhile.
-  Time WarmUntil;
-  Time NextWarmOpening;
-  Reach Probes;
-
-  bool takesNew() const { return State == Standing::Ready && !ZoneDrained; }
-  bool suspect(Time now) const { return now < SuspectUntil; }
+  Time WarmUpUntil;
+  Time NextWarmUpFlow;
+  Reachability Probes;
+
+  bool acceptsNewFlows() const {
+    return State == BackendState::Ready && !ZoneDrained;
+  }
+  bool isSuspect(Time now) const { return now < SuspectUntil; }
   /// What this instance has the server work on. An opening is a request to
   /// come; a server that answers none must not look idle.
   uint32_t load() const { return InProgress + Opening; }
@@ -95,7 +97,7 @@
 /// Times of the list of backend servers.
 struct BackendTimes {
   /// A server that is gone is remembered this long: the longest life of a flow.
-  Duration RememberGone = std::chrono::seconds(60);
+  Duration GoneRetention = std::chrono::seconds(60);
 };
 
 /// Position of a backend server in `Backends`; stable while it is remembered.
@@ -117,27 +119,29 @@
   /// A registration of an earlier life than the one known is a late one and
   /// changes nothing. One of a later life ends all that is believed of the
   /// server; `takeReborn` tells of it.
-  bool learn(const Registration &info, Time now);
+  bool applyRegistration(const Registration &info, Time now);
   /// A registration has ended. Returns true where its standing changed.
-  bool lost(BackendId id, Time now);
+  bool markMissing(BackendId id, Time now);
   /// A registration was replaced by one that can't be read. Returns true where
   /// its standing changed.
   ///
   /// What goes wrong without: someone else writes under a server's key, and
   /// what the server said before goes on deciding. It says nothing of whether
   /// the server lives, so it is not the end of its flows either.
-  bool unreadable(BackendId id);
+  bool markUnreadable(BackendId id);
   /// The operators drain a zone, or have ended that. Its servers keep their
   /// flows and take no new ones, whatever they register meanwhile. Returns
   /// true where it was not known.
   bool drainZone(const std::string &zone, bool active, Time now);
   const DrainedZones &drainedZones() const { return Drained; }
   /// Servers that have started again since the last call.
-  std::vector<BackendIndex> takeReborn() { return std::exchange(Reborn, {}); }
+  std::vector<BackendIndex> takeRestarted() {
+    return std::exchange(Reborn, {});
+  }
   /// Forgets servers that have been gone for long. With `trusted`, a missing
   /// registration proves that its server has ended: turns missing into gone.
   /// Returns those that went since the last call.
-  std::vector<BackendIndex> update(bool trusted, Time now);
+  std::vector<BackendIndex> expire(bool trusted, Time now);
 
   Backend &at(BackendIndex i) { return Slots[i]; }
   const Backend &at(BackendIndex i) const { return Slots[i]; }
@@ -152,7 +156,9 @@
   /// How many have not gone.
   size_t size() const { return Living; }
   /// One more than the highest index in use.
-  BackendIndex limit() const { return static_cast<BackendIndex>(Slots.size()); }
+  BackendIndex indexEnd() const {
+    return static_cast<BackendIndex>(Slots.size());
+  }
 
 private:
   BackendIndex add(const Registration &info);
--- a/include/chicorybank/token/Core.h
+++ b/include/chicorybank/token/Core.h
@@ -5,15 +5,15 @@
 //   core.handle(RoutesLearned{routes}, now, actions);
 //   core.handle(BackendsLearned{.Present = servers}, now, actions);
 //   core.handle(BackendsComplete{}, now, actions);
-//   core.handle(NewsChecked{.CurrentAt = now}, now, actions);
-//   core.handle(PacketSeen{head, bytes}, now, actions);
+//   core.handle(FreshnessUpdated{.CurrentAt = now}, now, actions);
+//   core.handle(PacketReceived{head, bytes}, now, actions);
 //   // actions: a Forward, a ResetFlow, or nothing.
 
 #ifndef CHICORYBANK_TOKEN_CORE_H
 #define CHICORYBANK_TOKEN_CORE_H
 
 #include "chicorybank/token/Events.h"
-#include "chicorybank/token/FlowMemory.h"
+#include "chicorybank/token/FlowTracker.h"
 #include "chicorybank/token/Histogram.h"
 #include "chicorybank/token/Mechanisms.h"
 #include "chicorybank/token/Zones.h"
@@ -39,30 +39,30 @@
   BackendTimes Servers;
   /// News that was not renewed for this long has a gap: what vanished in it may
   /// come back.
-  Duration NewsGap = std::chrono::milliseconds(700);
+  Duration UpdateGap = std::chrono::milliseconds(700);
   /// A registration that vanished in a gap is back this long after it, if the
   /// server lives. (Users: about two seconds.)
   Duration ReturnGrace = std::chrono::milliseconds(2300);
   /// How long an opening may stay unanswered, at least. Several times the usual
   /// handshake of a few milliseconds, well below a caller's copy at 200 ms.
-  Duration OpenPatience = std::chrono::milliseconds(25);
+  Duration OpeningTimeout = std::chrono::milliseconds(25);
   /// Unanswered openings or requests in a row that make a server suspect: one
   /// may be a lost datagram.
   uint32_t SuspectAfter = 2;
   /// How long a suspect is avoided; doubles with each suspicion in a row.
   Duration SuspectFor = std::chrono::milliseconds(800);
-  Duration SuspectForMost = std::chrono::seconds(4);
-  ReachOptions Reaching;
+  Duration SuspectForMax = std::chrono::seconds(4);
+  ReachabilityOptions Probing;
   ZoneOptions Zoning;
   /// A token that stays unknown for this long, while the registrations are
   /// current, belongs to a server that has ended: registrations arrive within
   /// a second.
-  Duration UnknownPatience = std::chrono::milliseconds(2500);
+  Duration UnknownTokenTimeout = std::chrono::milliseconds(2500);
   /// So many flows with unknown tokens are remembered; about a megabyte. Anyone
   /// can send packets with made-up tokens, and they must not take the memory
   /// that an instance has. Above it a flow is not reset, only dropped.
-  size_t UnknownMost = 10'000;
-  Mechanisms Use;
+  size_t MaxUnknownFlows = 10'000;
+  Mechanisms Enabled;
 };
 
 /// Counters and gauges of a core. Counters never fall.
@@ -94,18 +94,18 @@
   /// When the next `Tick` is wanted.
   Time nextTick(Time now) const;
   /// True once there are a route and a server: some packets can be carried.
-  bool carries() const {
+  bool canForward() const {
     return Routes.version().Value != 0 && Servers.size() != 0;
   }
   /// True once all routes and backend servers are known.
-  bool serves() const { return Routes.version().Value != 0 && SawBackends; }
+  bool isReady() const { return Routes.version().Value != 0 && SawBackends; }
 
   const CoreStats &stats() const { return Stats; }
   const RouteTable &routes() const { return Routes; }
   const Backends &backends() const { return Servers; }
   size_t flows() const { return Flows.size(); }
   size_t unknownFlows() const { return Unknown.size(); }
-  Time newsCurrentAt() const { return CurrentAt; }
+  Time currentAt() const { return CurrentAt; }
 
 private:
   /// An opening packet that may have to be sent again, to another server.
@@ -123,23 +123,23 @@
     Time SentAt;
   };
 
-  void on(const PacketSeen &event, Time now, Actions &actions);
+  void on(const PacketReceived &event, Time now, Actions &actions);
   void on(const RoutesLearned &event, Time now, Actions &actions);
   void on(const PastRoutesLearned &event, Time now, Actions &actions);
   void on(const BackendsLearned &event, Time now, Actions &actions);
   void on(const ZoneDrainLearned &event, Time now, Actions &actions);
   void on(const InstancesLearned &event, Time now, Actions &actions);
   void on(const BackendsComplete &event, Time now, Actions &actions);
-  void on(const NewsChecked &event, Time now, Actions &actions);
+  void on(const FreshnessUpdated &event, Time now, Actions &actions);
   void on(const BoundsChanged &event, Time now, Actions &actions);
   void on(const ProbeEnded &event, Time now, Actions &actions);
-  void on(const BackendDoubted &event, Time now, Actions &actions);
+  void on(const BackendReportedUnreachable &event, Time now, Actions &actions);
   void on(const Tick &event, Time now, Actions &actions);
 
-  void open(const PacketSeen &event, Time now, Actions &actions);
-  void openAt(const PacketSeen &event, BackendIndex i, Time now,
+  void open(const PacketReceived &event, Time now, Actions &actions);
+  void openAt(const PacketReceived &event, BackendIndex i, Time now,
               Actions &actions);
-  void carry(const PacketSeen &event, Time now, Actions &actions);
+  void carry(const PacketReceived &event, Time now, Actions &actions);
   BackendIndex resolve(const FlowPacket &head, Time now, Reason &why) const;
   void unknownToken(const FlowPacket &head, Time now, Actions &actions);
   void follow(const FlowPacket &head, BackendIndex i, Time now,
@@ -160,7 +160,7 @@
   void missed(BackendIndex i, Time now, Actions &actions);
   void suspect(BackendIndex i, Time now, Actions &actions);
 
-  bool mayProbe(const Reach &reach, Time now) const;
+  bool mayProbe(const Reachability &reach, Time now) const;
   void doubt(BackendIndex i, Time now, Actions &actions);
   void probe(BackendIndex i, Time now, Actions &actions);
   void sendProbe(BackendIndex i, Time now, Actions &actions);
@@ -168,14 +168,14 @@
   static bool finishing(const Backend &backend);
   void probeFailed(BackendIndex i, Time now, Actions &actions);
   void probeOnceMore(BackendIndex i, Time now, Actions &actions);
-  void showedLife(Reach &reach, Time now);
+  void showedLife(Reachability &reach, Time now);
   void addressAnswers(BackendIndex i, Time now, Actions &actions);
-  bool distrusted(const Reach &reach, Time now) const;
+  bool distrusted(const Reachability &reach, Time now) const;
   void resetWaitingAt(BackendIndex i, Time now, Actions &actions);
   /// A conclusion from probes would not be safe, nor is one that was reached
   /// just before.
   bool falseAlarmLately(Time now) const {
-    return now - FalseAlarmAt < Options.Reaching.AfterFalseAlarm;
+    return now - FalseAlarmAt < Options.Probing.FalseAlarmHold;
   }
   void noteLink(BackendIndex answered, Time now);
   bool comparedAnswered(BackendIndex i) const;
@@ -189,7 +189,7 @@
   Duration requestPatience() const;
   void steerOpeningsAway(Time now, Actions &actions);
   bool silent(const Backend &backend, Time now) const {
-    return backend.suspect(now) || ZoneView.suspect(backend.Info.Zone, now);
+    return backend.isSuspect(now) || ZoneView.isSuspect(backend.Info.Zone, now);
   }
   void checkOpenings(Time now, Actions &actions);
   void endFormerLives(int64_t readAt, Time now, Actions &actions);
@@ -236,7 +236,7 @@
   /// a registration may have returned after that. And there may be a gap that
   /// is not over: items can be read before they are shown to be current.
   bool trustsMissing(Time now) const {
-    return now - CurrentAt < Options.NewsGap &&
+    return now - CurrentAt < Options.UpdateGap &&
            CurrentAt - CurrentSince >= Options.ReturnGrace;
   }
 
@@ -245,7 +245,7 @@
   Backends Servers;
   WarmUpLimits WarmUps;
   Zones ZoneView;
-  FlowMemory Flows;
+  FlowTracker Flows;
   std::deque<Opening> Openings;
   std::deque<Request> Requests;
   /// Flows with an unknown token: when the first packet came.
--- a/include/chicorybank/token/Events.h
+++ b/include/chicorybank/token/Events.h
@@ -16,7 +16,7 @@
 namespace chicory::token {
 
 /// A caller's packet came from the routers. `Raw` is used during the call only.
-struct PacketSeen {
+struct PacketReceived {
   FlowPacket Head;
   Bytes Raw;
 };
@@ -60,7 +60,7 @@
 struct BackendsComplete {};
 
 /// How well this instance can know the newest configuration.
-struct NewsChecked {
+struct FreshnessUpdated {
   /// What was told so far holds everything up to this time.
   Time CurrentAt;
 };
@@ -87,17 +87,17 @@
 
 /// Another instance has given up on a server. That may be its own trouble, so
 /// this instance looks for itself.
-struct BackendDoubted {
+struct BackendReportedUnreachable {
   BackendId Id;
 };
 
 /// Time passes; send one every few milliseconds while flows are opening.
 struct Tick {};
 
-using Event =
-    std::variant<PacketSeen, RoutesLearned, PastRoutesLearned, BackendsLearned,
-                 ZoneDrainLearned, InstancesLearned, BackendsComplete,
-                 NewsChecked, BoundsChanged, ProbeEnded, BackendDoubted, Tick>;
+using Event = std::variant<PacketReceived, RoutesLearned, PastRoutesLearned,
+                           BackendsLearned, ZoneDrainLearned, InstancesLearned,
+                           BackendsComplete, FreshnessUpdated, BoundsChanged,
+                           ProbeEnded, BackendReportedUnreachable, Tick>;
 
 /// Send the packet to a backend server, with this token in it.
 struct Forward {
@@ -125,7 +125,7 @@
 };
 
 /// Tell other instances that a server can't be reached from here.
-struct ShareDoubt {
+struct ReportUnreachable {
   BackendId Id;
 };
 
@@ -145,7 +145,7 @@
 };
 
 using Action =
-    std::variant<Forward, ResetFlow, ProbeBackend, ShareDoubt, Decision>;
+    std::variant<Forward, ResetFlow, ProbeBackend, ReportUnreachable, Decision>;
 using Actions = std::vector<Action>;
 
 } // namespace chicory::token
--- a/include/chicorybank/token/FlowMemory.h
+++ b/include/chicorybank/token/FlowTracker.h
@@ -4,8 +4,8 @@
 // requests in progress and backend servers that fall silent, and to keep the
 // copies of an opening packet together.
 
-#ifndef CHICORYBANK_TOKEN_FLOWMEMORY_H
-#define CHICORYBANK_TOKEN_FLOWMEMORY_H
+#ifndef CHICORYBANK_TOKEN_FLOWTRACKER_H
+#define CHICORYBANK_TOKEN_FLOWTRACKER_H
 
 #include "chicorybank/base/Hash.h"
 #include "chicorybank/token/Backends.h"
@@ -20,11 +20,11 @@
   /// Guards against an index that was given to another server meanwhile.
   BackendId Id;
   /// The opening also went to this server; none where it went to one alone.
-  BackendId Other;
+  BackendId AlsoSentTo;
   /// The opening packet was sent, and nothing shows yet that it was answered.
   bool Opening = true;
   /// A request is in progress.
-  bool Busy = false;
+  bool RequestInProgress = false;
   uint32_t LastSequence = 0;
   uint32_t LastAcknowledged = 0;
   /// When the opening packet was last sent to `Backend`.
@@ -34,7 +34,7 @@
   Time LastSeen;
   /// When data was last sent, and when the request in progress began.
   Time DataAt;
-  Time BusySince;
+  Time RequestSince;
 };
 
 struct FlowKeyHash {
@@ -42,7 +42,7 @@
 };
 
 /// Flows by their key; grows with use.
-using FlowMemory = std::unordered_map<FlowKey, FlowState, FlowKeyHash>;
+using FlowTracker = std::unordered_map<FlowKey, FlowState, FlowKeyHash>;
 
 } // namespace chicory::token
 
--- a/include/chicorybank/token/Reach.h
+++ b/include/chicorybank/token/Reachability.h
@@ -14,30 +14,30 @@
 // lets others through: a server that failed a probe and lives all the same
 // shows that, and for a while nothing is concluded.
 
-#ifndef CHICORYBANK_TOKEN_REACH_H
-#define CHICORYBANK_TOKEN_REACH_H
+#ifndef CHICORYBANK_TOKEN_REACHABILITY_H
+#define CHICORYBANK_TOKEN_REACHABILITY_H
 
 #include "chicorybank/token/Types.h"
 
 namespace chicory::token {
 
 /// Times and numbers of probes.
-struct ReachOptions {
+struct ReachabilityOptions {
   /// A probe without an answer fails after this time, at least: some twenty
   /// round trips between zones. On a slow link it is four handshakes.
   Duration Timeout = std::chrono::milliseconds(40);
   /// Failures in a row that make a server unreachable: two packets of three may
   /// be lost where a link is full.
-  uint32_t Conclusive = 3;
+  uint32_t UnreachableAfter = 3;
   /// Probes after one that failed wait for so many times as long.
-  int FurtherFactor = 2;
+  int RetryTimeoutFactor = 2;
   /// Of a row so many probes are made anew because the one for comparison was
   /// not answered. With a quarter of all servers dead, one row in 250 still
   /// ends without a conclusion.
-  uint32_t InconclusiveMost = 3;
+  uint32_t MaxInconclusive = 3;
   /// Nothing is concluded for this long after a server that failed a probe
   /// showed life: about as long as a full link stays full.
-  Duration AfterFalseAlarm = std::chrono::seconds(3);
+  Duration FalseAlarmHold = std::chrono::seconds(3);
   /// The address of a server that has ended may be another one's two seconds
   /// later, which then answers probes. A row begins within a second of the end.
   Duration AddressReusedAfter = std::chrono::seconds(1);
@@ -48,19 +48,19 @@
   /// seconds).
   Duration DistrustFor = std::chrono::milliseconds(3500);
   /// A server that answered is not asked again for this long.
-  Duration Every = std::chrono::milliseconds(250);
+  Duration MinInterval = std::chrono::milliseconds(250);
   /// A failure is believed for this long. A server that was cut off is back
   /// without telling; a belief must not outlive the cut by much.
-  Duration BelieveFor = std::chrono::milliseconds(600);
+  Duration UnreachableFor = std::chrono::milliseconds(600);
   /// A request without a sign of an answer raises a doubt after this time, at
   /// least, and after this many times the usual wait. A doubt costs a probe, so
   /// it may be raised early.
-  Duration RequestPatience = std::chrono::milliseconds(50);
-  int RequestFactor = 3;
+  Duration RequestTimeoutMin = std::chrono::milliseconds(50);
+  int RequestTimeoutFactor = 3;
 };
 
 /// What probes have shown of one backend server.
-struct Reach {
+struct Reachability {
   bool Probing = false;
   /// Probes in a row that failed.
   uint32_t Failures = 0;
@@ -68,21 +68,21 @@
   uint32_t Inconclusive = 0;
   /// When, since the last probe was sent, one of another server was answered
   /// first.
-  Time LinkShownAt;
+  Time LinkWorkedAt;
   /// The server that was asked together with the last probe.
-  BackendId Compared;
+  BackendId ComparisonServer;
   /// When the first probe of a row was sent, and the last one.
-  Time RowBeganAt;
+  Time SeriesStartedAt;
   Time SentAt;
   Duration Timeout = Duration::zero();
   /// When a probe last failed or was last answered.
   Time FailedAt;
-  Time ReachedAt;
+  Time AnsweredAt;
   /// Until when the server is believed to be unreachable.
   Time UnreachableUntil;
   /// It was found to be unreachable, and none of its flows has shown life
   /// since.
-  bool Silent = false;
+  bool FoundUnreachable = false;
 };
 
 } // namespace chicory::token
--- a/include/chicorybank/token/WarmUp.h
+++ b/include/chicorybank/token/WarmUp.h
@@ -35,23 +35,23 @@
   /// Where all instances register at once, as after a long outage, each sees
   /// itself before the others and would open flows at every server. Others that
   /// register at the same time are known after this.
-  static constexpr Duration Settling = std::chrono::seconds(2);
+  static constexpr Duration SettlingTime = std::chrono::seconds(2);
 
   explicit WarmUpLimits(InstanceId self) : Self(self) {}
 
-  void learn(const std::vector<ServiceWarmUp> &services);
+  void setServices(const std::vector<ServiceWarmUp> &services);
   /// The registered instances, this one included if it is registered.
-  void learn(std::vector<ZonedInstance> peers, Time now);
+  void setInstances(std::vector<ZonedInstance> peers, Time now);
 
   /// A registration was read.
-  void registered(Backend &server, Time now) const;
+  void onRegistered(Backend &server, Time now) const;
   /// The server's zone is no longer drained: it starts cold, and says so only
   /// with its next heartbeat.
-  void restored(Backend &server, Time now) const;
+  void onZoneRestored(Backend &server, Time now) const;
   /// This instance may open a flow at the server now.
   bool mayOpen(const Backend &server, Time now) const;
   /// It has opened one there.
-  void opened(Backend &server, Time now) const;
+  void onFlowOpened(Backend &server, Time now) const;
 
 private:
   const ServiceWarmUp *limitOf(const Backend &server, Time now) const;
--- a/include/chicorybank/token/Zones.h
+++ b/include/chicorybank/token/Zones.h
@@ -26,8 +26,8 @@
   /// hardly any request waits; at the second every other one does. A flow in
   /// another zone is lost if that is cut off, so not earlier than it helps: 0.7
   /// and 1.3 serve no better.
-  double LeaveFrom = 1.0;
-  double LeaveAll = 1.5;
+  double SpillFrom = 1.0;
+  double SpillAll = 1.5;
   /// The load is smoothed over this time: several requests of each caller, and
   /// less than a burst lasts.
   Duration Smoothing = std::chrono::milliseconds(300);
@@ -51,20 +51,20 @@
   Zones(std::string own, ZoneOptions options)
       : Own(std::move(own)), Options(options) {}
 
-  void learn(const std::vector<ZonedInstance> &instances);
+  void setInstances(const std::vector<ZonedInstance> &instances);
 
   /// A server of a zone has answered.
-  void progressed(const std::string &zone);
+  void recordAnswer(const std::string &zone);
   /// One has left an opening or a request unanswered. True: its zone has become
   /// suspect.
-  bool missed(const Backend &server, Time now);
-  bool suspect(const std::string &zone, Time now) const;
+  bool recordMiss(const Backend &server, Time now);
+  bool isSuspect(const std::string &zone, Time now) const;
 
   /// What this instance has in progress at servers of its zone, and the slots
   /// of those; of one service.
-  void observe(ServiceId service, uint32_t load, uint32_t slots, Time now);
+  void recordLoad(ServiceId service, uint32_t load, uint32_t slots, Time now);
   /// The share of a service's new flows that choose among all zones.
-  double shareThatLeaves(ServiceId service) const;
+  double spillShare(ServiceId service) const;
 
 private:
   struct Evidence {
--- a/lib/edge/Directory.cpp
+++ b/lib/edge/Directory.cpp
@@ -131,7 +131,7 @@
   readColumn(in, out,
              [](Registration &it, uint64_t n) { it.Order.Revision = n; });
   readColumn(in, out, [&](Registration &it, uint64_t n) {
-    it.Born = narrow<int64_t>(in, n);
+    it.StartedAtMs = narrow<int64_t>(in, n);
   });
   return directory;
 }
@@ -166,7 +166,7 @@
   column([](const Registration &it) { return it.Order.Generation; });
   column([](const Registration &it) { return it.Order.Revision; });
   column([](const Registration &it) {
-    return static_cast<uint64_t>(std::max<int64_t>(it.Born, 0));
+    return static_cast<uint64_t>(std::max<int64_t>(it.StartedAtMs, 0));
   });
   return compress(out.take());
 }
--- a/lib/edge/Mirror.cpp
+++ b/lib/edge/Mirror.cpp
@@ -46,7 +46,7 @@
   }
   uint64_t operator()(const token::Registration &news) const {
     uint64_t out = mixHash(news.Id.Value, news.Where.packed());
-    out = mixHash(out, static_cast<uint64_t>(news.Born));
+    out = mixHash(out, static_cast<uint64_t>(news.StartedAtMs));
     return mixHash(out, news.Service.Value * 2 + (news.Draining ? 1 : 0));
   }
   uint64_t operator()(const RegistrationUnreadable &news) const {
--- a/lib/edge/NewsDuty.cpp
+++ b/lib/edge/NewsDuty.cpp
@@ -246,7 +246,7 @@
   ++Traffic.Doubts;
   if (!Doubts.isNew(doubt.Backend, now))
     return;
-  Pending.emplace_back(token::BackendDoubted{doubt.Backend});
+  Pending.emplace_back(token::BackendReportedUnreachable{doubt.Backend});
   passNews();
   sendDoubt(doubt.Backend, false);
 }
@@ -333,7 +333,8 @@
 }
 
 bool NewsDuty::mayRemind() const {
-  return Settings.Core.Use.Reminders && Reader.knowsAll() && Reader.mayPassOn();
+  return Settings.Core.Enabled.Reminders && Reader.knowsAll() &&
+         Reader.mayPassOn();
 }
 
 void NewsDuty::pullSeed(InstanceId from) {
--- a/lib/edge/NewsReader.cpp
+++ b/lib/edge/NewsReader.cpp
@@ -263,7 +263,7 @@
   CurrentAt = at;
   if (Copy.heldCount() != 0)
     endHeld(at, out);
-  out.emplace_back(token::NewsChecked{.CurrentAt = at});
+  out.emplace_back(token::FreshnessUpdated{.CurrentAt = at});
 }
 
 bool NewsReader::takeList(ItemPage page, Time now,
--- a/lib/edge/PacketDuty.cpp
+++ b/lib/edge/PacketDuty.cpp
@@ -57,7 +57,7 @@
                        FileDescriptor packets, Shared &shared)
     : Frames(framing), Common(shared), Packets(std::move(packets)),
       Core(settings.Core), Batch(Packets.get()), Probes(Events, settings.Ip),
-      Turns(LongestTurn), Hold(settings.Core.Use.HoldAtStart) {
+      Turns(LongestTurn), Hold(settings.Core.Enabled.HoldAtStart) {
   Common.PacketWakeup.attach(Events);
 }
 
@@ -67,7 +67,7 @@
 /// the start. Packets that have waited for longer than their callers take to
 /// send them again are worth nothing, so the wait has an end.
 void PacketDuty::beginReading(Time now) {
-  bool wait = Hold && !Core.carries() && !Core.serves() && now < HoldUntil;
+  bool wait = Hold && !Core.canForward() && !Core.isReady() && now < HoldUntil;
   if (Reading || wait)
     return;
   Reading = true;
@@ -118,7 +118,7 @@
       ++Stats.OldOpenings;
       continue;
     }
-    handle(token::PacketSeen{.Head = *head, .Raw = raw}, now);
+    handle(token::PacketReceived{.Head = *head, .Raw = raw}, now);
   }
   if (count < static_cast<int>(SendBatch::Size))
     OldOpenings = false;
@@ -141,7 +141,7 @@
       Batch.add(size, Frames.callerAddress(reset->Flow));
     } else if (const auto *probe = std::get_if<token::ProbeBackend>(&it)) {
       Probes.start(*probe, steadyNow());
-    } else if (const auto *doubt = std::get_if<token::ShareDoubt>(&it)) {
+    } else if (const auto *doubt = std::get_if<token::ReportUnreachable>(&it)) {
       if (Common.Doubts.try_enqueue(doubt->Id))
         Common.ControlWakeup.wake();
     } else if (const auto *decision = std::get_if<token::Decision>(&it)) {
@@ -157,7 +157,7 @@
   while (Common.News.try_dequeue(event))
     handle(event, now);
   Batch.flush();
-  if (Core.serves())
+  if (Core.isReady())
     Common.Serves = true;
 }
 
@@ -185,7 +185,7 @@
   Stats.RuleVersion = Core.routes().version().Value;
   Stats.Drained = Core.backends().drainedZones();
   Stats.NewsAgeSeconds =
-      std::chrono::duration<double>(now - Core.newsCurrentAt()).count();
+      std::chrono::duration<double>(now - Core.currentAt()).count();
   Common.publish(Stats);
 }
 
--- a/lib/edge/RecordDuty.cpp
+++ b/lib/edge/RecordDuty.cpp
@@ -33,7 +33,7 @@
     return announce(std::move(*call));
   if (!current)
     return;
-  if (Settings.Core.Use.RouteRecord)
+  if (Settings.Core.Enabled.RouteRecord)
     if (auto call = Recorder.next(patience, now))
       return recordRoutes(std::move(*call));
   if (auto call = Directory.next(Copy, patience, now))
@@ -48,7 +48,7 @@
   Time out = Record.nextAt();
   if (!current)
     return out;
-  if (Settings.Core.Use.RouteRecord)
+  if (Settings.Core.Enabled.RouteRecord)
     out = std::min(out, Recorder.nextAt(patience));
   return std::min(out, Directory.nextAt(patience));
 }
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -72,7 +72,8 @@
   takeOver("times.max_flow_age", inUse.Core.MaxFlowAge, fresh.Core.MaxFlowAge,
            out.Applied);
   takeOver("times.grace", inUse.Grace, fresh.Grace, out.Applied);
-  compare("mechanisms", inUse.Core.Use, fresh.Core.Use, out.AfterRestart);
+  compare("mechanisms", inUse.Core.Enabled, fresh.Core.Enabled,
+          out.AfterRestart);
   inUse.StopAfter = fresh.StopAfter;
   return out;
 }
@@ -80,7 +81,7 @@
 std::vector<std::string> switchedOff(const EdgeSettings &settings) {
   std::vector<std::string> out;
   for (const token::MechanismName &it : token::MechanismNames)
-    if (!(settings.Core.Use.*it.Switch))
+    if (!(settings.Core.Enabled.*it.Switch))
       out.emplace_back(it.Key);
   return out;
 }
@@ -122,16 +123,16 @@
 
     Section mechanisms(top, "mechanisms", file, findings);
     for (const token::MechanismName &it : token::MechanismNames)
-      out.Core.Use.*it.Switch = mechanisms->flag(it.Key, true);
+      out.Core.Enabled.*it.Switch = mechanisms->flag(it.Key, true);
     top.finish();
   }
   out.Core.Zone = out.Zone;
   out.Core.Self = InstanceId{out.Ip};
   out.Core.Seed = hashBytes(out.Name);
-  out.Core.Servers.RememberGone = out.Core.MaxFlowAge;
+  out.Core.Servers.GoneRetention = out.Core.MaxFlowAge;
   out.News.Pace = std::clamp<Duration>(out.Core.ApplyWithin / PacesInApply,
                                        PaceLeast, PaceMost);
-  out.Core.NewsGap =
+  out.Core.UpdateGap =
       std::chrono::duration_cast<Duration>(out.News.Pace * PacesInGap);
   if (out.Grace > 2 * GraceReserve)
     out.StopAfter = std::min(out.StopAfter, out.Grace - GraceReserve);
--- a/lib/token/Choice.cpp
+++ b/lib/token/BackendSelection.cpp
@@ -34,8 +34,8 @@
 } // namespace
 
 bool Core::staysInZone(ServiceId service) {
-  double leaves = ZoneView.shareThatLeaves(service);
-  return Options.Use.OwnZoneFirst &&
+  double leaves = ZoneView.spillShare(service);
+  return Options.Enabled.OwnZoneFirst &&
          std::uniform_real_distribution<double>(0, 1)(Random) >= leaves;
 }
 
@@ -66,12 +66,13 @@
     const Backend &backend = Servers.at(i);
     if (backend.Info.Zone == Options.Zone) {
       loadHere += backend.load();
-      slotsHere += backend.takesNew() ? backend.Info.Slots : 0;
+      slotsHere += backend.acceptsNewFlows() ? backend.Info.Slots : 0;
     }
-    bool missing = Options.Use.MissingAsLastResort &&
-                   backend.State == Standing::Missing &&
+    bool missing = Options.Enabled.MissingAsLastResort &&
+                   backend.State == BackendState::Missing &&
                    !backend.Info.Draining && !backend.ZoneDrained;
-    if ((!backend.takesNew() && !missing) || !WarmUps.mayOpen(backend, now))
+    if ((!backend.acceptsNewFlows() && !missing) ||
+        !WarmUps.mayOpen(backend, now))
       continue;
     double cost = score(backend, stays, now);
     if (missing)
@@ -84,7 +85,7 @@
     best = cost;
     out = i;
   }
-  ZoneView.observe(service, loadHere, slotsHere, now);
+  ZoneView.recordLoad(service, loadHere, slotsHere, now);
   return out;
 }
 
@@ -117,9 +118,9 @@
   for (const WeightedService &it : route.Services)
     for (BackendIndex i : Servers.ofService(it.Service)) {
       // All that take new flows warm up, or one of them would have been chosen.
-      if (Servers.at(i).takesNew())
+      if (Servers.at(i).acceptsNewFlows())
         return Reason::WarmingUp;
-      if (Servers.at(i).State == Standing::Ready)
+      if (Servers.at(i).State == BackendState::Ready)
         out = Reason::ZoneDrained;
     }
   return out;
@@ -131,8 +132,8 @@
   backend.Suspicions = 0;
   backend.LastProgress = now;
   backend.SuspectUntil = {};
-  backend.Probes.Silent = false;
-  ZoneView.progressed(backend.Info.Zone);
+  backend.Probes.FoundUnreachable = false;
+  ZoneView.recordAnswer(backend.Info.Zone);
 }
 
 void Core::missed(BackendIndex i, Time now, Actions &actions) {
@@ -141,7 +142,7 @@
   doubt(i, now, actions);
   if (backend.Unanswered >= Options.SuspectAfter)
     suspect(i, now, actions);
-  if (!Options.Use.Suspicion || !ZoneView.missed(backend, now))
+  if (!Options.Enabled.Suspicion || !ZoneView.recordMiss(backend, now))
     return;
   decided({.What = "zone_suspect",
            .Why = Reason::BackendSilent,
@@ -152,11 +153,11 @@
 
 void Core::suspect(BackendIndex i, Time now, Actions &actions) {
   Backend &backend = Servers.at(i);
-  if (!Options.Use.Suspicion || backend.suspect(now))
+  if (!Options.Enabled.Suspicion || backend.isSuspect(now))
     return;
   Duration lasts = Options.SuspectFor;
   for (uint32_t n = 0; n < backend.Suspicions; ++n)
-    lasts = std::min(lasts * 2, Options.SuspectForMost);
+    lasts = std::min(lasts * 2, Options.SuspectForMax);
   ++backend.Suspicions;
   backend.SuspectUntil = now + lasts;
   actions.emplace_back(Decision{.What = "backend_suspect",
@@ -171,7 +172,7 @@
 /// A silent server swallows openings, and callers notice after 200 ms. The
 /// openings that wait at silent ones go to another server at once.
 void Core::steerOpeningsAway(Time now, Actions &actions) {
-  if (!Options.Use.MovedOpenings)
+  if (!Options.Enabled.MovedOpenings)
     return;
   for (Opening &it : Openings) {
     FlowState *flow = flowOf(it.Flow);
@@ -188,8 +189,8 @@
       continue;
     FlowState &moved = remember(it.Flow, to, now);
     moved.SentAt = now;
-    WarmUps.opened(Servers.at(to), now);
-    moved.Other = Servers.at(from).Info.Id;
+    WarmUps.onFlowOpened(Servers.at(to), now);
+    moved.AlsoSentTo = Servers.at(from).Info.Id;
     it.SentAt = now;
     it.Counted = true;
     ++Stats.Retries[static_cast<size_t>(Reason::BackendSilent)];
@@ -205,7 +206,7 @@
 
 void Core::checkOpenings(Time now, Actions &actions) {
   Duration patience =
-      std::max(Options.OpenPatience, Handshake * HandshakeFactor);
+      std::max(Options.OpeningTimeout, Handshake * HandshakeFactor);
   for (size_t n = 0; n < Openings.size(); ++n) {
     Opening &it = Openings[n];
     if (it.Counted || now - it.SentAt < patience)
--- a/lib/token/Backends.cpp
+++ b/lib/token/Backends.cpp
@@ -18,7 +18,7 @@
 BackendIndex Backends::add(const Registration &info) {
   BackendIndex i = 0;
   if (Free.empty()) {
-    i = limit();
+    i = indexEnd();
     Slots.emplace_back();
   } else {
     i = Free.back();
@@ -32,16 +32,16 @@
   return i;
 }
 
-bool Backends::learn(const Registration &info, Time now) {
+bool Backends::applyRegistration(const Registration &info, Time now) {
   BackendIndex i = find(info.Id);
   bool fresh = i == NoBackend;
   if (fresh)
     i = add(info);
   Backend &backend = Slots[i];
-  int64_t known = backend.Info.Born;
-  if (known != 0 && info.Born != 0 && info.Born < known)
+  int64_t known = backend.Info.StartedAtMs;
+  if (known != 0 && info.StartedAtMs != 0 && info.StartedAtMs < known)
     return false;
-  Standing before = backend.State;
+  BackendState before = backend.State;
   RegistrationOrder first = backend.Info.Order;
   backend.Info = info;
   // A restored registry shows an old registration in a new generation; it is
@@ -49,19 +49,19 @@
   if (!fresh && first.Revision == info.Order.Revision)
     backend.Info.Order = first;
   backend.ZoneDrained = Drained.contains(info.Zone);
-  if (info.Born == 0)
-    backend.Info.Born = known;
-  else if (known != 0 && info.Born > known)
+  if (info.StartedAtMs == 0)
+    backend.Info.StartedAtMs = known;
+  else if (known != 0 && info.StartedAtMs > known)
     beginLife(i);
   if (!claimAddress(i, now)) {
-    if (before != Standing::Gone)
+    if (before != BackendState::Gone)
       end(i, now);
     return false;
   }
   // It had been given up on, and lives after all.
-  if (before == Standing::Gone)
+  if (before == BackendState::Gone)
     ++Living;
-  backend.State = info.Draining ? Standing::Draining : Standing::Ready;
+  backend.State = info.Draining ? BackendState::Draining : BackendState::Ready;
   return fresh || before != backend.State;
 }
 
@@ -76,26 +76,27 @@
   if (same && other.Order > own.Order)
     return false;
   it->second = i;
-  if (same && Slots[owner].State != Standing::Gone)
+  if (same && Slots[owner].State != BackendState::Gone)
     end(owner, now);
   return true;
 }
 
 void Backends::end(BackendIndex i, Time now) {
-  Slots[i].State = Standing::Gone;
+  Slots[i].State = BackendState::Gone;
   Slots[i].LostAt = now;
   --Living;
   Ended.push_back(i);
 }
 
-bool Backends::lost(BackendId id, Time now) {
+bool Backends::markMissing(BackendId id, Time now) {
   BackendIndex i = find(id);
   if (i == NoBackend)
     return false;
   Backend &backend = Slots[i];
-  if (backend.State == Standing::Gone || backend.State == Standing::Missing)
+  if (backend.State == BackendState::Gone ||
+      backend.State == BackendState::Missing)
     return false;
-  backend.State = Standing::Missing;
+  backend.State = BackendState::Missing;
   backend.LostAt = now;
   return true;
 }
@@ -122,26 +123,27 @@
   Reborn.push_back(i);
 }
 
-bool Backends::unreadable(BackendId id) {
+bool Backends::markUnreadable(BackendId id) {
   BackendIndex i = find(id);
   if (i == NoBackend)
     return false;
   Backend &backend = Slots[i];
-  if (backend.State == Standing::Gone || backend.State == Standing::Unreadable)
+  if (backend.State == BackendState::Gone ||
+      backend.State == BackendState::Unreadable)
     return false;
-  backend.State = Standing::Unreadable;
+  backend.State = BackendState::Unreadable;
   return true;
 }
 
-std::vector<BackendIndex> Backends::update(bool trusted, Time now) {
-  for (BackendIndex i = 0; i < limit(); ++i) {
+std::vector<BackendIndex> Backends::expire(bool trusted, Time now) {
+  for (BackendIndex i = 0; i < indexEnd(); ++i) {
     Backend &backend = Slots[i];
     if (backend.Info.Id.Value == 0)
       continue;
-    if (backend.State == Standing::Missing && trusted) {
+    if (backend.State == BackendState::Missing && trusted) {
       end(i, now);
-    } else if (backend.State == Standing::Gone &&
-               now - backend.LostAt > Times.RememberGone) {
+    } else if (backend.State == BackendState::Gone &&
+               now - backend.LostAt > Times.GoneRetention) {
       forget(i);
     }
   }
@@ -180,7 +182,7 @@
   const std::vector<BackendIndex> &same = withToken(tokenOf(one.Info.Id));
   return std::any_of(same.begin(), same.end(), [&](BackendIndex other) {
     return other != i && Slots[other].Info.Service == one.Info.Service &&
-           Slots[other].State != Standing::Gone;
+           Slots[other].State != BackendState::Gone;
   });
 }
 
--- a/lib/token/Core.cpp
+++ b/lib/token/Core.cpp
@@ -33,7 +33,7 @@
   std::visit([&](const auto &it) { on(it, now, actions); }, event);
 }
 
-void Core::on(const PacketSeen &event, Time now, Actions &actions) {
+void Core::on(const PacketReceived &event, Time now, Actions &actions) {
   ++Stats.Packets;
   if (event.Head.Open)
     open(event, now, actions);
@@ -41,7 +41,7 @@
     carry(event, now, actions);
 }
 
-void Core::open(const PacketSeen &event, Time now, Actions &actions) {
+void Core::open(const PacketReceived &event, Time now, Actions &actions) {
   const FlowPacket &head = event.Head;
   const Route *route = Routes.find(head.Route);
   if (!route) {
@@ -57,7 +57,7 @@
   forgetFormer(head.key(), now);
   if (FlowState *flow = flowOf(head.key())) {
     const Backend &backend = Servers.at(flow->Backend);
-    bool away = silent(backend, now) || !backend.takesNew();
+    bool away = silent(backend, now) || !backend.acceptsNewFlows();
     // All copies go to one server: two that answer would leave the caller with
     // a flow at one and the token of the other. Only a server that answers
     // nobody loses its openings, and only where the copy is a real one.
@@ -74,14 +74,14 @@
   ++Stats.Opened;
   openAt(event, i, now, actions);
   if (avoid != NoBackend && avoid != i)
-    flowOf(head.key())->Other = Servers.at(avoid).Info.Id;
+    flowOf(head.key())->AlsoSentTo = Servers.at(avoid).Info.Id;
   decided({.What = "flow_opened",
            .Flow = head.key(),
            .Backend = Servers.at(i).Info.Id},
           now, actions);
 }
 
-void Core::openAt(const PacketSeen &event, BackendIndex i, Time now,
+void Core::openAt(const PacketReceived &event, BackendIndex i, Time now,
                   Actions &actions) {
   FlowKey key = event.Head.key();
   FlowState &flow = remember(key, i, now);
@@ -89,7 +89,7 @@
   if (flow.Opening) {
     // A copy is no further flow.
     if (flow.SentAt == Time{})
-      WarmUps.opened(Servers.at(i), now);
+      WarmUps.onFlowOpened(Servers.at(i), now);
     flow.SentAt = now;
     Openings.push_back({.Flow = key,
                         .SentAt = now,
@@ -121,7 +121,7 @@
   return out;
 }
 
-void Core::carry(const PacketSeen &event, Time now, Actions &actions) {
+void Core::carry(const PacketReceived &event, Time now, Actions &actions) {
   const FlowPacket &head = event.Head;
   if (!Routes.find(head.Route)) {
     if (newsIsCurrent(now) && Routes.wasRemoved(head.Route) && !head.Reset)
@@ -135,7 +135,7 @@
   // not get the flow's packets.
   const FlowState *flow = flowOf(head.key());
   bool second = flow && i != NoBackend && !flow->Opening &&
-                flow->Other == Servers.at(i).Info.Id;
+                flow->AlsoSentTo == Servers.at(i).Info.Id;
   if (flow && (second || (i == NoBackend && head.Echo.Value == 0)))
     i = flow->Backend;
   if (i == NoBackend) {
@@ -144,7 +144,7 @@
       unknownToken(head, now, actions);
     return;
   }
-  if (Servers.at(i).State == Standing::Gone) {
+  if (Servers.at(i).State == BackendState::Gone) {
     forget(head.key());
     if (!head.Reset)
       reset(head, Reason::BackendGone, i, now, actions);
@@ -162,11 +162,12 @@
 void Core::unknownToken(const FlowPacket &head, Time now, Actions &actions) {
   if (head.Reset || head.Echo.Value == 0)
     return;
-  if (Unknown.size() >= Options.UnknownMost && !Unknown.contains(head.key()))
+  if (Unknown.size() >= Options.MaxUnknownFlows &&
+      !Unknown.contains(head.key()))
     return;
   Time since = Unknown.try_emplace(head.key(), now).first->second;
   since = std::max(since, CurrentSince);
-  if (!trustsMissing(now) || CurrentAt - since < Options.UnknownPatience)
+  if (!trustsMissing(now) || CurrentAt - since < Options.UnknownTokenTimeout)
     return;
   Unknown.erase(head.key());
   reset(head, Reason::BackendGone, NoBackend, now, actions);
@@ -201,7 +202,7 @@
 void Core::on(const RoutesLearned &event, Time now, Actions &actions) {
   if (!Routes.learn(event.Routes, now))
     return;
-  WarmUps.learn(event.Routes.WarmUps);
+  WarmUps.setServices(event.Routes.WarmUps);
   Stats.RoutesAge.add(newsAge(now));
   decided({.What = "routes_in_force"}, now, actions);
 }
@@ -212,17 +213,17 @@
 
 void Core::on(const BackendsLearned &event, Time now, Actions &actions) {
   for (const Registration &it : event.Present) {
-    if (Servers.learn(it, now))
+    if (Servers.applyRegistration(it, now))
       decided({.What = it.Draining ? "backend_draining" : "backend_ready",
                .Backend = it.Id},
               now, actions);
-    WarmUps.registered(Servers.at(Servers.find(it.Id)), now);
+    WarmUps.onRegistered(Servers.at(Servers.find(it.Id)), now);
   }
   for (BackendId it : event.Ended)
-    if (Servers.lost(it, now))
+    if (Servers.markMissing(it, now))
       decided({.What = "backend_missing", .Backend = it}, now, actions);
   for (BackendId it : event.Unreadable)
-    if (Servers.unreadable(it))
+    if (Servers.markUnreadable(it))
       decided({.What = "backend_unreadable", .Backend = it}, now, actions);
   endFormerLives(event.ReadAt, now, actions);
   // What is missing has to wait until the news is shown to be current.
@@ -233,17 +234,17 @@
   if (!Servers.drainZone(event.Zone, event.Active, now))
     return;
   if (!event.Active)
-    for (BackendIndex i = 0; i < Servers.limit(); ++i)
+    for (BackendIndex i = 0; i < Servers.indexEnd(); ++i)
       if (Servers.at(i).Info.Zone == event.Zone)
-        WarmUps.restored(Servers.at(i), now);
+        WarmUps.onZoneRestored(Servers.at(i), now);
   decided({.What = event.Active ? "zone_drained" : "zone_restored",
            .Zone = event.Zone},
           now, actions);
 }
 
 void Core::on(const InstancesLearned &event, Time now, Actions & /*actions*/) {
-  WarmUps.learn(event.Instances, now);
-  ZoneView.learn(event.Instances);
+  WarmUps.setInstances(event.Instances, now);
+  ZoneView.setInstances(event.Instances);
 }
 
 void Core::decided(Decision decision, Time now, Actions &actions) const {
@@ -258,8 +259,9 @@
   SawBackends = true;
 }
 
-void Core::on(const NewsChecked &event, Time /*now*/, Actions & /*actions*/) {
-  if (event.CurrentAt - CurrentAt > Options.NewsGap)
+void Core::on(const FreshnessUpdated &event, Time /*now*/,
+              Actions & /*actions*/) {
+  if (event.CurrentAt - CurrentAt > Options.UpdateGap)
     CurrentSince = event.CurrentAt;
   CurrentAt = std::max(CurrentAt, event.CurrentAt);
 }
@@ -296,11 +298,11 @@
 /// How old the life is follows from two clocks. Where they can't be right, or
 /// the flow may have been opened in the new life, the server decides.
 void Core::endFormerLives(int64_t readAt, Time now, Actions &actions) {
-  for (BackendIndex i : Servers.takeReborn()) {
+  for (BackendIndex i : Servers.takeRestarted()) {
     Backend &backend = Servers.at(i);
     decided({.What = "backend_restarted", .Backend = backend.Info.Id}, now,
             actions);
-    Duration age = std::chrono::milliseconds(readAt - backend.Info.Born);
+    Duration age = std::chrono::milliseconds(readAt - backend.Info.StartedAtMs);
     bool known = readAt != 0 && age >= Duration::zero();
     std::vector<FlowKey> former;
     for (auto &[key, flow] : Flows) {
@@ -308,7 +310,7 @@
         continue;
       if (now - flow.FirstSeen > age + ClockDoubt)
         former.push_back(key);
-      else if (flow.Busy && now - flow.BusySince > age)
+      else if (flow.RequestInProgress && now - flow.RequestSince > age)
         endRequest(flow);
     }
     resetFlows(former, Reason::BackendRestarted, now, actions);
@@ -316,10 +318,10 @@
 }
 
 void Core::endServers(bool trusted, Time now, Actions &actions) {
-  for (BackendIndex it : Servers.update(trusted, now)) {
+  for (BackendIndex it : Servers.expire(trusted, now)) {
     decided({.What = "backend_gone", .Backend = Servers.at(it).Info.Id}, now,
             actions);
-    if (Options.Use.GoneResets)
+    if (Options.Enabled.GoneResets)
       resetFlowsOf(it, now, actions);
   }
 }
--- a/lib/token/Following.cpp
+++ b/lib/token/FlowTracking.cpp
@@ -53,20 +53,21 @@
     progress(flow.Backend, now);
   Backend &backend = Servers.at(flow.Backend);
   if (head.DataBytes == 0) {
-    if (answered && flow.Busy) {
+    if (answered && flow.RequestInProgress) {
       endRequest(flow);
-      Duration took = now - flow.BusySince;
+      Duration took = now - flow.RequestSince;
       RequestWait += (took - RequestWait) / SmoothingShare;
       Stats.RequestTime.add(took);
     }
     return;
   }
-  bool again = flow.Busy && !answered && head.Sequence == flow.LastSequence;
+  bool again =
+      flow.RequestInProgress && !answered && head.Sequence == flow.LastSequence;
   if (again && now - flow.DataAt >= RetransmitGap)
     missed(flow.Backend, now, actions);
-  if (!flow.Busy) {
-    flow.Busy = true;
-    flow.BusySince = now;
+  if (!flow.RequestInProgress) {
+    flow.RequestInProgress = true;
+    flow.RequestSince = now;
     ++backend.InProgress;
     Requests.push_back({.Flow = head.key(), .SentAt = now});
   }
@@ -89,7 +90,7 @@
   // The token goes before memory, which may be from before a freeze.
   BackendId other;
   if (flow && flow->Backend != i) {
-    if (flow->Other == Servers.at(i).Info.Id)
+    if (flow->AlsoSentTo == Servers.at(i).Info.Id)
       other = flow->Id;
     forget(key);
     flow = nullptr;
@@ -98,7 +99,7 @@
     flow = &Flows[key];
     flow->Backend = i;
     flow->Id = Servers.at(i).Info.Id;
-    flow->Other = other;
+    flow->AlsoSentTo = other;
     flow->FirstSeen = now;
     ++Servers.at(i).Flows;
     ++Servers.at(i).Opening;
@@ -114,12 +115,12 @@
   --backend.Flows;
   if (flow.Opening)
     --backend.Opening;
-  if (flow.Busy)
+  if (flow.RequestInProgress)
     --backend.InProgress;
 }
 
 void Core::endRequest(FlowState &flow) {
-  flow.Busy = false;
+  flow.RequestInProgress = false;
   if (Servers.at(flow.Backend).Info.Id == flow.Id)
     --Servers.at(flow.Backend).InProgress;
 }
@@ -150,7 +151,7 @@
       it = Flows.erase(it);
       continue;
     }
-    if (flow.Busy && idle > BusyLife) {
+    if (flow.RequestInProgress && idle > BusyLife) {
       endRequest(flow);
     }
     ++it;
--- a/lib/token/Reach.cpp
+++ b/lib/token/Reachability.cpp
@@ -1,4 +1,4 @@
-// What is done about backend servers that may be unreachable (Reach.h).
+// What is done about backend servers that may be unreachable (Reachability.h).
 
 #include "chicorybank/token/Core.h"
 
@@ -20,34 +20,34 @@
 } // namespace
 
 /// No probe of it is under way, and none has ended just now.
-bool Core::mayProbe(const Reach &reach, Time now) const {
-  Time endedAt = std::max(reach.ReachedAt, reach.FailedAt);
-  return !reach.Probing && now - endedAt >= Options.Reaching.Every;
+bool Core::mayProbe(const Reachability &reach, Time now) const {
+  Time endedAt = std::max(reach.AnsweredAt, reach.FailedAt);
+  return !reach.Probing && now - endedAt >= Options.Probing.MinInterval;
 }
 
 /// Something sent to a server has no answer yet. That alone proves nothing.
 void Core::doubt(BackendIndex i, Time now, Actions &actions) {
-  if (Options.Use.Probes && mayProbe(Servers.at(i).Probes, now))
+  if (Options.Enabled.Probes && mayProbe(Servers.at(i).Probes, now))
     probe(i, now, actions);
 }
 
 /// Probes a server. After a failure one to a server that answered lately goes
 /// out with it.
 void Core::probe(BackendIndex i, Time now, Actions &actions) {
-  Reach &reach = Servers.at(i).Probes;
+  Reachability &reach = Servers.at(i).Probes;
   if (reach.Failures == 0) {
-    reach.RowBeganAt = now;
+    reach.SeriesStartedAt = now;
     reach.Inconclusive = 0;
   }
   reach.Timeout =
-      std::max({Options.Reaching.Timeout, Handshake * HandshakesInTimeout,
+      std::max({Options.Probing.Timeout, Handshake * HandshakesInTimeout,
                 roundTrip(Servers.at(i).Info.Zone) * RoundTripsInTimeout});
   if (reach.Failures != 0) {
-    reach.Timeout *= Options.Reaching.FurtherFactor;
+    reach.Timeout *= Options.Probing.RetryTimeoutFactor;
     BackendIndex other = lastToAnswer(i);
-    reach.Compared = {};
+    reach.ComparisonServer = {};
     if (other != NoBackend) {
-      reach.Compared = Servers.at(other).Info.Id;
+      reach.ComparisonServer = Servers.at(other).Info.Id;
       Servers.at(other).Probes.Timeout = reach.Timeout;
       sendProbe(other, now, actions);
     }
@@ -70,9 +70,9 @@
 BackendIndex Core::lastToAnswer(BackendIndex i) const {
   BackendIndex out = NoBackend;
   Time newest;
-  for (BackendIndex other = 0; other < Servers.limit(); ++other) {
+  for (BackendIndex other = 0; other < Servers.indexEnd(); ++other) {
     const Backend &it = Servers.at(other);
-    Time answered = std::max(it.LastProgress, it.Probes.ReachedAt);
+    Time answered = std::max(it.LastProgress, it.Probes.AnsweredAt);
     bool inDoubt = it.Probes.Failures != 0 || it.Probes.Probing;
     if (other == i || inDoubt || answered <= newest)
       continue;
@@ -87,11 +87,11 @@
   if (i == NoBackend)
     return;
   Backend &backend = Servers.at(i);
-  Reach &reach = backend.Probes;
+  Reachability &reach = backend.Probes;
   reach.Probing = false;
   if (event.Outcome == ProbeOutcome::Reached) {
     addressAnswers(i, now, actions);
-    reach.ReachedAt = now;
+    reach.AnsweredAt = now;
     noteLink(i, now);
     learnRoundTrip(backend.Info.Zone, now - reach.SentAt);
     return;
@@ -104,7 +104,7 @@
   if (event.Outcome == ProbeOutcome::Refused && finishing(backend))
     return;
   // Its answers go to callers directly, so they may show life all the same.
-  if (backend.LastProgress >= reach.RowBeganAt)
+  if (backend.LastProgress >= reach.SeriesStartedAt)
     return showedLife(reach, now);
   probeFailed(i, now, actions);
 }
@@ -114,7 +114,7 @@
 /// answers are on their way, in a planned stop. That it has ended shows when
 /// its registration does.
 bool Core::finishing(const Backend &backend) {
-  return backend.State == Standing::Draining;
+  return backend.State == BackendState::Draining;
 }
 
 /// A probe shows that somebody listens at the server's address. Long after the
@@ -129,37 +129,39 @@
 /// day on which 30 of 120 servers end so (three runs each; of 2,242 requests in
 /// the two seconds after it 136 were late without, 110 with it).
 void Core::addressAnswers(BackendIndex i, Time now, Actions &actions) {
-  Reach &reach = Servers.at(i).Probes;
-  bool another = distrusted(reach, now) &&
-                 now - reach.RowBeganAt >= Options.Reaching.AddressReusedAfter;
+  Reachability &reach = Servers.at(i).Probes;
+  bool another =
+      distrusted(reach, now) &&
+      now - reach.SeriesStartedAt >= Options.Probing.AddressReusedAfter;
   if (!another)
     return showedLife(reach, now);
   reach.Failures = 0;
   resetWaitingAt(i, now, actions);
 }
 
-bool Core::distrusted(const Reach &reach, Time now) const {
-  return reach.Silent && now - reach.FailedAt <= Options.Reaching.DistrustFor;
+bool Core::distrusted(const Reachability &reach, Time now) const {
+  return reach.FoundUnreachable &&
+         now - reach.FailedAt <= Options.Probing.DistrustFor;
 }
 
 /// Requests that may be repeated and have waited for longer than usual.
 void Core::resetWaitingAt(BackendIndex i, Time now, Actions &actions) {
   auto waits = [&](const FlowKey &key, const FlowState &flow) {
     const Route *route = Routes.find(key.Destination);
-    return flow.Busy && route && route->Idempotent &&
-           now - flow.BusySince >= requestPatience();
+    return flow.RequestInProgress && route && route->Idempotent &&
+           now - flow.RequestSince >= requestPatience();
   };
   resetFlows(flowsOf(i, waits), Reason::BackendUnreachable, now, actions);
 }
 
-void Core::showedLife(Reach &reach, Time now) {
+void Core::showedLife(Reachability &reach, Time now) {
   if (std::exchange(reach.Failures, 0) != 0)
     FalseAlarmAt = now;
 }
 
 void Core::probeFailed(BackendIndex i, Time now, Actions &actions) {
   Backend &backend = Servers.at(i);
-  Reach &reach = backend.Probes;
+  Reachability &reach = backend.Probes;
   suspect(i, now, actions);
   // How long an answer from a zone takes that was never heard is not known.
   bool knownDistance = backend.Info.Zone == Options.Zone ||
@@ -171,18 +173,18 @@
       probeOnceMore(i, now, actions);
     return;
   }
-  if (++reach.Failures < Options.Reaching.Conclusive)
+  if (++reach.Failures < Options.Probing.UnreachableAfter)
     return probe(i, now, actions);
   if (falseAlarmLately(now))
     return;
-  reach.UnreachableUntil = now + Options.Reaching.BelieveFor;
-  reach.Silent = true;
+  reach.UnreachableUntil = now + Options.Probing.UnreachableFor;
+  reach.FoundUnreachable = true;
   decided({.What = "backend_unreachable",
            .Why = Reason::BackendUnreachable,
            .Backend = backend.Info.Id},
           now, actions);
-  if (Options.Use.SharedDoubts)
-    actions.emplace_back(ShareDoubt{.Id = backend.Info.Id});
+  if (Options.Enabled.SharedDoubts)
+    actions.emplace_back(ReportUnreachable{.Id = backend.Info.Id});
   resetHopelessFlowsOf(i, now, actions);
 }
 
@@ -194,8 +196,8 @@
 /// instance's link, further probes fail alike, and only few are made; a late
 /// answer shows a slow link, and nothing more is asked.
 void Core::probeOnceMore(BackendIndex i, Time now, Actions &actions) {
-  Reach &reach = Servers.at(i).Probes;
-  if (reach.Inconclusive >= Options.Reaching.InconclusiveMost)
+  Reachability &reach = Servers.at(i).Probes;
+  if (reach.Inconclusive >= Options.Probing.MaxInconclusive)
     return;
   ++reach.Inconclusive;
   probe(i, now, actions);
@@ -203,16 +205,17 @@
 
 /// The other instance's probes stand for the first one here. A server that this
 /// instance has nothing to do with can wait.
-void Core::on(const BackendDoubted &event, Time now, Actions &actions) {
+void Core::on(const BackendReportedUnreachable &event, Time now,
+              Actions &actions) {
   BackendIndex i = Servers.find(event.Id);
   if (i == NoBackend)
     return;
   Backend &backend = Servers.at(i);
-  Reach &reach = backend.Probes;
+  Reachability &reach = backend.Probes;
   bool concerned = backend.Flows != 0 || backend.Info.Zone == Options.Zone;
   if (!concerned || !mayProbe(reach, now))
     return;
-  reach.RowBeganAt = now;
+  reach.SeriesStartedAt = now;
   reach.Inconclusive = 0;
   reach.Failures = 1;
   probe(i, now, actions);
@@ -227,29 +230,29 @@
 /// rows end without a conclusion; one sees callers who wait a second or two
 /// longer.
 void Core::noteLink(BackendIndex answered, Time now) {
-  for (BackendIndex i = 0; i < Servers.limit(); ++i) {
-    Reach &reach = Servers.at(i).Probes;
-    bool first = reach.LinkShownAt < reach.SentAt;
+  for (BackendIndex i = 0; i < Servers.indexEnd(); ++i) {
+    Reachability &reach = Servers.at(i).Probes;
+    bool first = reach.LinkWorkedAt < reach.SentAt;
     if (i != answered && reach.Probing && first)
-      reach.LinkShownAt = now;
+      reach.LinkWorkedAt = now;
   }
 }
 
 /// While the last probe of a server was under way, a probe of another one was
 /// answered, and quickly.
 bool Core::linkWorked(BackendIndex i) const {
-  const Reach &reach = Servers.at(i).Probes;
-  Time soon = reach.SentAt + reach.Timeout / Options.Reaching.FurtherFactor;
-  return reach.LinkShownAt >= reach.SentAt && reach.LinkShownAt <= soon;
+  const Reachability &reach = Servers.at(i).Probes;
+  Time soon = reach.SentAt + reach.Timeout / Options.Probing.RetryTimeoutFactor;
+  return reach.LinkWorkedAt >= reach.SentAt && reach.LinkWorkedAt <= soon;
 }
 
 /// The server that was asked with the last probe of this one has answered,
 /// however late.
 bool Core::comparedAnswered(BackendIndex i) const {
-  const Reach &reach = Servers.at(i).Probes;
-  BackendIndex other = Servers.find(reach.Compared);
+  const Reachability &reach = Servers.at(i).Probes;
+  BackendIndex other = Servers.find(reach.ComparisonServer);
   return other != NoBackend &&
-         Servers.at(other).Probes.ReachedAt >= reach.SentAt;
+         Servers.at(other).Probes.AnsweredAt >= reach.SentAt;
 }
 
 void Core::learnRoundTrip(const std::string &zone, Duration took) {
@@ -270,7 +273,7 @@
 /// served, and if not, its caller could not have repeated it anyway.
 bool Core::resetUnreachable(const FlowPacket &head, BackendIndex i, Time now,
                             Actions &actions) {
-  const Reach &reach = Servers.at(i).Probes;
+  const Reachability &reach = Servers.at(i).Probes;
   if (reach.Failures == 0)
     return false;
   doubt(i, now, actions);
@@ -299,16 +302,16 @@
     const Route *route = Routes.find(key.Destination);
     if (!route || flow.Opening)
       return false;
-    bool repeatable = flow.Busy && route->Idempotent;
-    bool idle = !flow.Busy && !route->Idempotent;
-    return repeatable || (idle && Options.Use.IdleResets);
+    bool repeatable = flow.RequestInProgress && route->Idempotent;
+    bool idle = !flow.RequestInProgress && !route->Idempotent;
+    return repeatable || (idle && Options.Enabled.IdleResets);
   };
   resetFlows(flowsOf(i, hopeless), Reason::BackendUnreachable, now, actions);
 }
 
 Duration Core::requestPatience() const {
-  return std::max(Options.Reaching.RequestPatience,
-                  RequestWait * Options.Reaching.RequestFactor);
+  return std::max(Options.Probing.RequestTimeoutMin,
+                  RequestWait * Options.Probing.RequestTimeoutFactor);
 }
 
 /// Doubts the servers of requests that wait for longer than usual while the
@@ -319,10 +322,10 @@
     Request it = Requests.front();
     Requests.pop_front();
     FlowState *flow = flowOf(it.Flow);
-    if (!flow || !flow->Busy || flow->BusySince != it.SentAt ||
+    if (!flow || !flow->RequestInProgress || flow->RequestSince != it.SentAt ||
         Servers.at(flow->Backend).LastProgress >= it.SentAt)
       continue;
-    const Reach &reach = Servers.at(flow->Backend).Probes;
+    const Reachability &reach = Servers.at(flow->Backend).Probes;
     if (reach.Failures == 0 && distrusted(reach, now) && !falseAlarmLately(now))
       resetWaitingAt(flow->Backend, now, actions);
     else
--- a/lib/token/WarmUp.cpp
+++ b/lib/token/WarmUp.cpp
@@ -6,34 +6,35 @@
 
 namespace chicory::token {
 
-void WarmUpLimits::learn(const std::vector<ServiceWarmUp> &services) {
+void WarmUpLimits::setServices(const std::vector<ServiceWarmUp> &services) {
   Services.clear();
   for (const ServiceWarmUp &it : services)
     if (it.FlowsPerSecond > 0)
       Services[it.Service.Value] = it;
 }
 
-void WarmUpLimits::learn(std::vector<ZonedInstance> peers, Time now) {
+void WarmUpLimits::setInstances(std::vector<ZonedInstance> peers, Time now) {
   Peers = std::move(peers);
   bool listed = std::any_of(Peers.begin(), Peers.end(),
                             [&](const auto &it) { return it.Id == Self; });
   ListedSince = listed ? std::min(ListedSince, now) : Time::max();
 }
 
-void WarmUpLimits::registered(Backend &server, Time now) const {
+void WarmUpLimits::onRegistered(Backend &server, Time now) const {
   if (server.Info.WarmUpLeft > Duration::zero())
-    server.WarmUntil = std::max(server.WarmUntil, now + server.Info.WarmUpLeft);
+    server.WarmUpUntil =
+        std::max(server.WarmUpUntil, now + server.Info.WarmUpLeft);
 }
 
-void WarmUpLimits::restored(Backend &server, Time now) const {
+void WarmUpLimits::onZoneRestored(Backend &server, Time now) const {
   auto it = Services.find(server.Info.Service.Value);
   if (it != Services.end())
-    server.WarmUntil = std::max(server.WarmUntil, now + it->second.Lasts);
+    server.WarmUpUntil = std::max(server.WarmUpUntil, now + it->second.Lasts);
 }
 
 const ServiceWarmUp *WarmUpLimits::limitOf(const Backend &server,
                                            Time now) const {
-  if (now >= server.WarmUntil)
+  if (now >= server.WarmUpUntil)
     return nullptr;
   auto it = Services.find(server.Info.Service.Value);
   return it == Services.end() ? nullptr : &it->second;
@@ -42,16 +43,17 @@
 bool WarmUpLimits::mayOpen(const Backend &server, Time now) const {
   if (!limitOf(server, now))
     return true;
-  bool settled = ListedSince != Time::max() && now - ListedSince >= Settling;
-  return settled && now >= server.NextWarmOpening && isOpenerOf(server);
+  bool settled =
+      ListedSince != Time::max() && now - ListedSince >= SettlingTime;
+  return settled && now >= server.NextWarmUpFlow && isOpenerOf(server);
 }
 
-void WarmUpLimits::opened(Backend &server, Time now) const {
+void WarmUpLimits::onFlowOpened(Backend &server, Time now) const {
   const ServiceWarmUp *limit = limitOf(server, now);
   if (!limit)
     return;
   std::chrono::duration<double> gap(1 / limit->FlowsPerSecond);
-  server.NextWarmOpening = now + std::chrono::duration_cast<Duration>(gap);
+  server.NextWarmUpFlow = now + std::chrono::duration_cast<Duration>(gap);
 }
 
 bool WarmUpLimits::isOpenerOf(const Backend &server) const {
--- a/lib/token/Zones.cpp
+++ b/lib/token/Zones.cpp
@@ -5,19 +5,19 @@
 
 namespace chicory::token {
 
-void Zones::learn(const std::vector<ZonedInstance> &instances) {
+void Zones::setInstances(const std::vector<ZonedInstance> &instances) {
   auto n = std::count_if(instances.begin(), instances.end(),
                          [&](const auto &it) { return it.Zone == Own; });
   InstancesHere = static_cast<uint32_t>(std::max<int64_t>(n, 1));
 }
 
-void Zones::progressed(const std::string &zone) {
+void Zones::recordAnswer(const std::string &zone) {
   auto it = ByZone.find(zone);
   if (it != ByZone.end())
     it->second = {};
 }
 
-bool Zones::missed(const Backend &server, Time now) {
+bool Zones::recordMiss(const Backend &server, Time now) {
   // An instance is not cut off from its own zone.
   if (server.Info.Zone == Own)
     return false;
@@ -32,15 +32,15 @@
   return true;
 }
 
-bool Zones::suspect(const std::string &zone, Time now) const {
+bool Zones::isSuspect(const std::string &zone, Time now) const {
   if (now >= AnySuspectUntil)
     return false;
   auto it = ByZone.find(zone);
   return it != ByZone.end() && now < it->second.SuspectUntil;
 }
 
-void Zones::observe(ServiceId service, uint32_t load, uint32_t slots,
-                    Time now) {
+void Zones::recordLoad(ServiceId service, uint32_t load, uint32_t slots,
+                       Time now) {
   Load &it = ByService[service.Value];
   std::chrono::duration<double> passed = now - it.At;
   std::chrono::duration<double> smoothing = Options.Smoothing;
@@ -50,15 +50,15 @@
   it.At = now;
 }
 
-double Zones::shareThatLeaves(ServiceId service) const {
+double Zones::spillShare(ServiceId service) const {
   auto it = ByService.find(service.Value);
   if (it == ByService.end())
     return 0;
   if (it->second.Slots == 0)
     return 1;
   double busy = it->second.Smoothed * InstancesHere / it->second.Slots;
-  return std::clamp((busy - Options.LeaveFrom) /
-                        (Options.LeaveAll - Options.LeaveFrom),
+  return std::clamp((busy - Options.SpillFrom) /
+                        (Options.SpillAll - Options.SpillFrom),
                     0.0, 1.0);
 }
 
--- a/tests/BackendsTest.cpp
+++ b/tests/BackendsTest.cpp
@@ -43,47 +43,48 @@
       int64_t newest = 0;
       for (int n = *rc::gen::inRange(1, 12); n > 0; --n) {
         Registration info = server(1);
-        info.Born = *rc::gen::element<int64_t>(0, 1000, 2000, 3000);
+        info.StartedAtMs = *rc::gen::element<int64_t>(0, 1000, 2000, 3000);
         info.Draining = *rc::gen::arbitrary<bool>();
         bool draining =
-            list.limit() != 0 && list.at(0).State == Standing::Draining;
-        list.learn(info, Start);
-        auto reborn = list.takeReborn();
-        if (info.Born != 0 && info.Born < newest) {
+            list.indexEnd() != 0 && list.at(0).State == BackendState::Draining;
+        list.applyRegistration(info, Start);
+        auto reborn = list.takeRestarted();
+        if (info.StartedAtMs != 0 && info.StartedAtMs < newest) {
           RC_ASSERT(reborn.empty());
-          RC_ASSERT((list.at(0).State == Standing::Draining) == draining);
+          RC_ASSERT((list.at(0).State == BackendState::Draining) == draining);
           continue;
         }
-        RC_ASSERT(reborn.size() == (newest != 0 && info.Born > newest));
-        newest = std::max(newest, info.Born);
-        RC_ASSERT(list.at(0).Info.Born == newest);
-        RC_ASSERT((list.at(0).State == Standing::Draining) == info.Draining);
+        RC_ASSERT(reborn.size() == (newest != 0 && info.StartedAtMs > newest));
+        newest = std::max(newest, info.StartedAtMs);
+        RC_ASSERT(list.at(0).Info.StartedAtMs == newest);
+        RC_ASSERT((list.at(0).State == BackendState::Draining) ==
+                  info.Draining);
       }
     });
     section("what was believed of the former life is over", [] {
       Backends list({});
       Registration info = server(1);
-      info.Born = 1000;
-      list.learn(info, Start);
+      info.StartedAtMs = 1000;
+      list.applyRegistration(info, Start);
       list.at(0).SuspectUntil = Start + 4s;
       list.at(0).Suspicions = 3;
       list.at(0).Probes.Failures = 3;
       list.at(0).Probes.Probing = true;
-      info.Born = 2000;
-      list.learn(info, Start + 1s);
-      expectTrue(!list.at(0).suspect(Start + 1s), "no suspicion");
+      info.StartedAtMs = 2000;
+      list.applyRegistration(info, Start + 1s);
+      expectTrue(!list.at(0).isSuspect(Start + 1s), "no suspicion");
       expectEqual<uint32_t>(0, list.at(0).Probes.Failures);
       expectTrue(list.at(0).Probes.Probing, "a probe is still under way");
     });
     section("a crash behind a lapse that was short", [] {
       Backends list({});
       Registration info = server(1);
-      info.Born = 1000;
-      list.learn(info, Start);
-      list.lost(BackendId{1}, Start + 1s);
-      info.Born = 2000;
-      expectTrue(list.learn(info, Start + 2s), "it is back");
-      expectEqual<size_t>(1, list.takeReborn().size());
+      info.StartedAtMs = 1000;
+      list.applyRegistration(info, Start);
+      list.markMissing(BackendId{1}, Start + 1s);
+      info.StartedAtMs = 2000;
+      expectTrue(list.applyRegistration(info, Start + 2s), "it is back");
+      expectEqual<size_t>(1, list.takeRestarted().size());
     });
   }
 
@@ -94,17 +95,18 @@
   // Cause: what can't be read taken for the end of its server, or ignored.
   void keepsAServerWhoseRegistrationCannotBeRead() {
     Backends list({});
-    expectTrue(!list.unreadable(BackendId{1}), "it names nobody to use");
-    list.learn(server(1), Start);
-    expectTrue(list.unreadable(BackendId{1}), "its standing changes");
-    expectTrue(!list.at(0).takesNew(), "nothing new");
-    expectTrue(list.update(true, Start + 1h).empty(), "it has not ended");
-    expectTrue(list.learn(server(1), Start + 1h), "it says so itself");
-    expectTrue(list.at(0).takesNew(), "again");
+    expectTrue(!list.markUnreadable(BackendId{1}), "it names nobody to use");
+    list.applyRegistration(server(1), Start);
+    expectTrue(list.markUnreadable(BackendId{1}), "its standing changes");
+    expectTrue(!list.at(0).acceptsNewFlows(), "nothing new");
+    expectTrue(list.expire(true, Start + 1h).empty(), "it has not ended");
+    expectTrue(list.applyRegistration(server(1), Start + 1h),
+               "it says so itself");
+    expectTrue(list.at(0).acceptsNewFlows(), "again");
     section("its key ends while it can't be read", [&] {
-      list.unreadable(BackendId{1});
-      list.lost(BackendId{1}, Start + 1h);
-      expectEqual<size_t>(1, list.update(true, Start + 1h).size());
+      list.markUnreadable(BackendId{1});
+      list.markMissing(BackendId{1}, Start + 1h);
+      expectEqual<size_t>(1, list.expire(true, Start + 1h).size());
     });
   }
 
@@ -114,37 +116,38 @@
   // Cause: a missing registration taken for the end of its server.
   void turnsGoneOnlyWhenTrusted() {
     Backends list({});
-    list.learn(server(1), Start);
-    expectTrue(list.lost(BackendId{1}, Start), "its standing changes");
-    expectTrue(list.update(false, Start).empty(), "not while in doubt");
-    expectTrue(list.at(0).State == Standing::Missing, "it is missing");
+    list.applyRegistration(server(1), Start);
+    expectTrue(list.markMissing(BackendId{1}, Start), "its standing changes");
+    expectTrue(list.expire(false, Start).empty(), "not while in doubt");
+    expectTrue(list.at(0).State == BackendState::Missing, "it is missing");
     section("the registry can be trusted again", [&] {
-      expectEqual<size_t>(1, list.update(true, Start).size());
-      expectTrue(list.at(0).State == Standing::Gone, "it is gone");
-      expectTrue(list.update(true, Start).empty(), "and told once");
+      expectEqual<size_t>(1, list.expire(true, Start).size());
+      expectTrue(list.at(0).State == BackendState::Gone, "it is gone");
+      expectTrue(list.expire(true, Start).empty(), "and told once");
       expectEqual<size_t>(0, list.size());
     });
   }
 
   void takesBackWhoReturns() {
     Backends list({});
-    list.learn(server(1), Start);
-    list.lost(BackendId{1}, Start);
-    list.update(true, Start);
-    expectTrue(list.learn(server(1), Start), "its standing changes");
-    expectTrue(list.at(0).takesNew(), "it takes flows");
+    list.applyRegistration(server(1), Start);
+    list.markMissing(BackendId{1}, Start);
+    list.expire(true, Start);
+    expectTrue(list.applyRegistration(server(1), Start),
+               "its standing changes");
+    expectTrue(list.at(0).acceptsNewFlows(), "it takes flows");
     expectEqual<size_t>(1, list.size());
   }
 
   void forgetsTheGoneAfterALongestFlow() {
-    Backends list({.RememberGone = 60s});
-    list.learn(server(1), Start);
-    list.lost(BackendId{1}, Start);
-    list.update(true, Start);
+    Backends list({.GoneRetention = 60s});
+    list.applyRegistration(server(1), Start);
+    list.markMissing(BackendId{1}, Start);
+    list.expire(true, Start);
     Token token = tokenOf(BackendId{1});
-    list.update(true, Start + 60s);
+    list.expire(true, Start + 60s);
     expectEqual<size_t>(1, list.withToken(token).size());
-    list.update(true, Start + 61s);
+    list.expire(true, Start + 61s);
     expectEqual<size_t>(0, list.withToken(token).size());
     expectTrue(list.find(BackendId{1}) == NoBackend, "it is forgotten");
   }
@@ -164,16 +167,16 @@
     property("whichever registration is read first", [&] {
       Backends list({});
       bool newerFirst = *rc::gen::arbitrary<bool>();
-      list.learn(newerFirst ? at(2, 9) : at(1, 5), Start);
-      list.learn(newerFirst ? at(1, 5) : at(2, 9), Start);
-      auto ended = list.update(false, Start);
+      list.applyRegistration(newerFirst ? at(2, 9) : at(1, 5), Start);
+      list.applyRegistration(newerFirst ? at(1, 5) : at(2, 9), Start);
+      auto ended = list.expire(false, Start);
       RC_ASSERT(ended.size() == 1U);
       RC_ASSERT(list.at(ended[0]).Info.Id == BackendId{1});
-      RC_ASSERT(list.at(ended[0]).State == Standing::Gone);
+      RC_ASSERT(list.at(ended[0]).State == BackendState::Gone);
       RC_ASSERT(list.size() == 1U);
-      list.learn(at(1, 5), Start);
-      RC_ASSERT(list.at(ended[0]).State == Standing::Gone);
-      RC_ASSERT(list.update(false, Start).empty());
+      list.applyRegistration(at(1, 5), Start);
+      RC_ASSERT(list.at(ended[0]).State == BackendState::Gone);
+      RC_ASSERT(list.expire(false, Start).empty());
     });
   }
 
@@ -182,14 +185,14 @@
     Registration moving = server(1);
     moving.Where = {.Ip = 10, .Port = 80};
     moving.Order.Revision = 5;
-    list.learn(moving, Start);
+    list.applyRegistration(moving, Start);
     moving.Where = {.Ip = 11, .Port = 80};
-    list.learn(moving, Start);
+    list.applyRegistration(moving, Start);
     Registration next = server(2);
     next.Where = {.Ip = 10, .Port = 80};
     next.Order.Revision = 9;
-    list.learn(next, Start);
-    expectTrue(list.update(false, Start).empty(), "nobody has ended");
+    list.applyRegistration(next, Start);
+    expectTrue(list.expire(false, Start).empty(), "nobody has ended");
     expectEqual<size_t>(2, list.size());
   }
 
@@ -203,17 +206,17 @@
       return out;
     };
     Backends list({});
-    list.learn(at(1, {.Generation = 1, .Revision = 20}), Start);
-    list.learn(at(2, {.Generation = 1, .Revision = 50}), Start);
-    list.update(false, Start);
-    list.learn(at(1, {.Generation = 2, .Revision = 20}), Start);
-    expectTrue(list.at(list.find(BackendId{2})).State == Standing::Ready,
+    list.applyRegistration(at(1, {.Generation = 1, .Revision = 20}), Start);
+    list.applyRegistration(at(2, {.Generation = 1, .Revision = 50}), Start);
+    list.expire(false, Start);
+    list.applyRegistration(at(1, {.Generation = 2, .Revision = 20}), Start);
+    expectTrue(list.at(list.find(BackendId{2})).State == BackendState::Ready,
                "the successor stays");
-    expectTrue(list.at(list.find(BackendId{1})).State == Standing::Gone,
+    expectTrue(list.at(list.find(BackendId{1})).State == BackendState::Gone,
                "the predecessor does not come back");
     section("a third one that registers after the restore is newer", [&] {
-      list.learn(at(3, {.Generation = 2, .Revision = 45}), Start);
-      expectTrue(list.at(list.find(BackendId{2})).State == Standing::Gone,
+      list.applyRegistration(at(3, {.Generation = 2, .Revision = 45}), Start);
+      expectTrue(list.at(list.find(BackendId{2})).State == BackendState::Gone,
                  "the second has ended");
     });
   }
@@ -221,9 +224,9 @@
   void seesSharedTokens() {
     Backends list({});
     constexpr uint64_t High = uint64_t{1} << 32;
-    list.learn(server(5), Start);
+    list.applyRegistration(server(5), Start);
     expectTrue(!list.sharesToken(0), "alone");
-    list.learn(server(High | 4), Start);
+    list.applyRegistration(server(High | 4), Start);
     expectTrue(tokenOf(BackendId{High | 4}) == tokenOf(BackendId{5}),
                "two ids, one token");
     expectTrue(list.sharesToken(0) && list.sharesToken(1), "both share it");
--- a/tests/DirectoryTest.cpp
+++ b/tests/DirectoryTest.cpp
@@ -28,7 +28,7 @@
                             .Draining = drain,
                             .Slots = service % 9 + 1,
                             .Order = {.Revision = id >> 20},
-                            .Born = int64_t{born} * 1000};
+                            .StartedAtMs = int64_t{born} * 1000};
       },
       rc::gen::arbitrary<uint64_t>(), rc::gen::arbitrary<uint32_t>(),
       rc::gen::arbitrary<uint16_t>(), rc::gen::arbitrary<uint32_t>(),
@@ -51,7 +51,7 @@
          .Zone = "zone-" + std::to_string(random() % 5),
          .Slots = 2,
          .Order = {.Revision = 100'000 + random() % 60'000},
-         .Born = int64_t(1'764'700'000'000 + random() % 60'000)});
+         .StartedAtMs = int64_t(1'764'700'000'000 + random() % 60'000)});
   return out;
 }
 
--- a/tests/EdgeSettingsTest.cpp
+++ b/tests/EdgeSettingsTest.cpp
@@ -89,7 +89,7 @@
                         findings);
     expectTrue(switchedOff(*without) == std::vector<std::string>{"probes"},
                "this one alone");
-    expectTrue(!without->Core.Use.Probes && without->Core.Use.Suspicion,
+    expectTrue(!without->Core.Enabled.Probes && without->Core.Enabled.Suspicion,
                "as the core has it");
     std::string text =
         findingsOf(Good + "[mechanisms]\nprobing = false\nprobes = 1\n");
@@ -122,8 +122,8 @@
     // A gap has to be noticed before registrations that lapsed in it are taken
     // for ended: one and a half paces at most.
     auto usual = read(Good, findings);
-    expectTrue(usual->Core.NewsGap > usual->News.Pace &&
-                   usual->Core.NewsGap <= usual->News.Pace * 3 / 2,
+    expectTrue(usual->Core.UpdateGap > usual->News.Pace &&
+                   usual->Core.UpdateGap <= usual->News.Pace * 3 / 2,
                "a gap is little more than a pace");
     auto hasty = read(replaced("3000ms", "1500.5ms"), findings);
     expectTrue(hasty && hasty->News.Pace < 260ms, "a shorter pace");
--- a/tests/NewsReaderTest.cpp
+++ b/tests/NewsReaderTest.cpp
@@ -106,11 +106,11 @@
     Reading reading;
     reading.step(store);
     reading.Now += 2s;
-    reading.take<token::NewsChecked>();
+    reading.take<token::FreshnessUpdated>();
     store.config(9);
     reading.Reader.next(reading.Now);
     reading.answer({.Status = Ok, .Body = bareBody({.At = store.position()})});
-    expectTrue(reading.take<token::NewsChecked>().empty(),
+    expectTrue(reading.take<token::FreshnessUpdated>().empty(),
                "silence does not show current news");
     expectEqual<std::string>("/-/kv-range?prefix=", reading.step(store));
     expectTrue(reading.take<token::RoutesLearned>().back().Routes.Version ==
@@ -396,7 +396,7 @@
       expectTrue(reading.take<token::BackendsComplete>().size() == 1,
                  "all is known");
       reading.Events = events;
-      expectTrue(reading.take<token::NewsChecked>().empty(),
+      expectTrue(reading.take<token::FreshnessUpdated>().empty(),
                  "nobody knows how old it is");
       expectTrue(!reading.Reader.needsSeed(pushed()), "there is no more");
       expectTrue(reading.Reader.knowsAll() && !reading.Reader.complete(),
@@ -418,7 +418,8 @@
       expectTrue(!reading.step(store).empty(), "a list");
       expectTrue(!reading.Reader.needsSeed(pushed()), "peers push from now on");
       auto events = reading.Events;
-      expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
+      expectTrue(reading.take<token::FreshnessUpdated>().size() == 1,
+                 "current");
       reading.Events = events;
       expectTrue(reading.take<token::BackendsComplete>().empty(), "told once");
     });
@@ -607,7 +608,7 @@
     expectTrue(reading.Reader.started(), "that is all");
     expectTrue(reading.take<token::BackendsComplete>().empty(),
                "it may lack servers");
-    expectTrue(reading.take<token::NewsChecked>().empty(),
+    expectTrue(reading.take<token::FreshnessUpdated>().empty(),
                "and shows nothing to be current");
     section("the list comes within a share of the time for all lists", [&] {
       reading.Now += 2 * StartSequence::ListSpread;
@@ -623,7 +624,7 @@
     Reading reading;
     reading.start(store);
     expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
-    expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
+    expectTrue(reading.take<token::FreshnessUpdated>().size() == 1, "current");
   }
 
   // Symptom: a dropped route is served, or a server taken for ended, seconds
@@ -639,7 +640,7 @@
     reading.Now += 1s;
     reading.stepOnce(old);
     auto events = reading.Events;
-    expectTrue(reading.take<token::NewsChecked>().empty(), "no proof");
+    expectTrue(reading.take<token::FreshnessUpdated>().empty(), "no proof");
     reading.Events = events;
     auto routes = reading.take<token::RoutesLearned>();
     expectTrue(routes.size() == 1 && routes[0].Routes.Version == RuleVersion{4},
@@ -649,7 +650,8 @@
     section("a list that is current follows", [&] {
       expectTrue(!reading.Reader.mayPassOn(), "nobody is told until then");
       expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
-      expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
+      expectTrue(reading.take<token::FreshnessUpdated>().size() == 1,
+                 "current");
       expectTrue(reading.Reader.mayPassOn(), "and others may be told");
     });
   }
@@ -759,12 +761,13 @@
     NewsPush push = late.Reader.push(InstanceId{2}, store.position(), late.Now);
     expectTrue(push.Base > early.Reader.mirror().position(), "a gap");
     early.Now += 100ms;
-    early.take<token::NewsChecked>();
+    early.take<token::FreshnessUpdated>();
     expectTrue(!early.Reader.takePush(push, false, early.Now, early.Events),
                "nothing has to be read");
     expectTrue(early.Reader.mirror().position() == store.position(),
                "it is as of that revision");
-    expectTrue(early.take<token::NewsChecked>().size() == 1, "and current");
+    expectTrue(early.take<token::FreshnessUpdated>().size() == 1,
+               "and current");
     section("not where a server drains in between", [&] {
       store.server(1, "draining");
       Reading third;
@@ -851,7 +854,7 @@
             RC_ASSERT(routes->Routes.Version.Value > highest);
             highest = routes->Routes.Version.Value;
           }
-        bool current = !reading.take<token::NewsChecked>().empty();
+        bool current = !reading.take<token::FreshnessUpdated>().empty();
         if (!current)
           continue;
         RC_ASSERT(highest == static_cast<uint64_t>(version));
--- a/tests/ReachTest.cpp
+++ b/tests/ReachabilityTest.cpp
@@ -1,6 +1,6 @@
 // Servers that fall silent: probed, and given up on only where that is sure.
 
-#include "chicorybank/token/Reach.h"
+#include "chicorybank/token/Reachability.h"
 
 #include "Story.h"
 #include "TokenSamples.h"
@@ -61,8 +61,8 @@
 
 } // namespace
 
-class ReachTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ReachTest);
+class ReachabilityTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ReachabilityTest);
   CPPUNIT_TEST(givesUpOnAServerThatCannotBeReached);
   CPPUNIT_TEST(sparesAServerThatIsSlow);
   CPPUNIT_TEST(sparesRequestsThatMayNotRunTwice);
@@ -230,7 +230,7 @@
     instance.pass(70ms);
     Actions actions = instance.allFail(3);
     expectTrue(only<ResetFlow>(actions).empty(), "no reset");
-    expectEqual<size_t>(1, only<ShareDoubt>(actions).size());
+    expectEqual<size_t>(1, only<ReportUnreachable>(actions).size());
     expectEqual<uint64_t>(3, sentTo(instance.packet(once.data(1))));
   }
 
@@ -435,7 +435,7 @@
 
   void tellsTheOthers() {
     Doubtful instance;
-    auto told = only<ShareDoubt>(instance.allFail());
+    auto told = only<ReportUnreachable>(instance.allFail());
     expectEqual<size_t>(1, told.size());
     expectEqual<uint64_t>(1, told[0].Id.Value);
   }
@@ -455,7 +455,7 @@
     instance.pass(1s);
     auto doubt = [&](uint64_t id) {
       return only<ProbeBackend>(
-          instance.handle(BackendDoubted{.Id = BackendId{id}}));
+          instance.handle(BackendReportedUnreachable{.Id = BackendId{id}}));
     };
     section("its probe goes out with one to a server that answered", [&] {
       expectEqual<size_t>(2, doubt(1).size());
@@ -538,7 +538,7 @@
       instance.Now += 2ms;
       instance.probeEnds(ProbeOutcome::Reached, 2);
       instance.Now += 60ms;
-      instance.handle(BackendDoubted{BackendId{3}});
+      instance.handle(BackendReportedUnreachable{BackendId{3}});
       instance.probeEnds(ProbeOutcome::Reached, 2);
       instance.Now += 18ms;
       last = instance.probeEnds(ProbeOutcome::Failed, 1);
@@ -587,4 +587,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ReachTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReachabilityTest);
--- a/tests/RestoreTest.cpp
+++ b/tests/RestoreTest.cpp
@@ -185,7 +185,8 @@
     reading.Now += 500ms;
     expectTrue(reading.stepOnce(it.Content).starts_with("/-/kv-watch"),
                "a watch, which is answered");
-    expectTrue(reading.take<token::NewsChecked>().empty(), "shows nothing");
+    expectTrue(reading.take<token::FreshnessUpdated>().empty(),
+               "shows nothing");
     expectEqual<std::string>("/-/kv-range?prefix=",
                              reading.stepOnce(it.Content));
     expectTrue(versions(reading) == std::vector<uint64_t>{23}, "version 23");
@@ -203,7 +204,7 @@
     expectTrue(!it.Reader.Reader.takePush(push, false, it.Reader.Now,
                                           it.Reader.Events),
                "there is nothing to read there");
-    expectTrue(it.Reader.take<token::NewsChecked>().empty(), "no proof");
+    expectTrue(it.Reader.take<token::FreshnessUpdated>().empty(), "no proof");
     expectEqual<uint64_t>(1, it.Reader.Reader.stats().OtherGenerations);
     section("the other way round, everything has to be read", [&] {
       NewsPush later = it.Reader.Reader.push(InstanceId{8}, {}, it.Reader.Now);
--- a/tests/StoreDialectTest.cpp
+++ b/tests/StoreDialectTest.cpp
@@ -188,7 +188,7 @@
       Findings findings;
       News news = read("servers/i-1", text, findings);
       const auto *server = std::get_if<token::Registration>(&news);
-      return server ? server->Born : -1;
+      return server ? server->StartedAtMs : -1;
     };
     expectEqual<int64_t>(0, bornIn(Server));
     expectEqual<int64_t>(1796256000123,
--- a/tests/TokenCoreTest.cpp
+++ b/tests/TokenCoreTest.cpp
@@ -115,7 +115,7 @@
   // Sequence: somebody sends packets with made-up tokens from ever new ports.
   // Cause: each such flow remembered for a minute.
   void remembersOnlySoManyUnknownFlows() {
-    Instance instance({.Zone = "a", .UnknownMost = 50});
+    Instance instance({.Zone = "a", .MaxUnknownFlows = 50});
     instance.learn({server(1)});
     for (uint16_t port = 1; port <= 500; ++port)
       instance.packet(
@@ -211,10 +211,10 @@
     instance.packet(Caller{.Port = 2}.open());
     instance.packet(Caller{.Port = 3}.open());
     instance.pass(60ms);
-    expectTrue(instance.Steers.backends().at(0).suspect(instance.Now),
+    expectTrue(instance.Steers.backends().at(0).isSuspect(instance.Now),
                "two openings without an answer");
     instance.packet(idle.data(100, 700));
-    expectTrue(instance.Steers.backends().at(0).suspect(instance.Now),
+    expectTrue(instance.Steers.backends().at(0).isSuspect(instance.Now),
                "still suspect");
   }
 
@@ -259,7 +259,7 @@
     Actions actions = instance.handle(Tick{});
     expectTrue(only<Forward>(actions).empty(), "nothing is sent again");
     for (BackendIndex i = 0; i < 2; ++i)
-      expectTrue(!instance.Steers.backends().at(i).suspect(instance.Now),
+      expectTrue(!instance.Steers.backends().at(i).isSuspect(instance.Now),
                  "no server is suspect");
   }
 
@@ -323,7 +323,7 @@
     instance.pass(5s);
     instance.pass(4s, false);
     instance.handle(BackendsLearned{.Ended = {BackendId{1}}});
-    instance.handle(NewsChecked{.CurrentAt = instance.Now});
+    instance.handle(FreshnessUpdated{.CurrentAt = instance.Now});
     Caller caller{.Echo = tokenOf(BackendId{1})};
     instance.packet(caller.data(1));
     expectTrue(only<ResetFlow>(instance.pass(10s, false)).empty(),
@@ -340,7 +340,7 @@
     instance.pass(5s);
     instance.pass(4s, false);
     instance.handle(BackendsLearned{.Ended = {BackendId{1}, BackendId{2}}});
-    instance.handle(NewsChecked{.CurrentAt = instance.Now});
+    instance.handle(FreshnessUpdated{.CurrentAt = instance.Now});
     expectTrue(sentTo(instance.packet(Caller{.Port = 7}.open())) != 0,
                "a missing server is tried");
     section("where the registry shows that one has ended, not before another",
@@ -374,7 +374,7 @@
     instance.pass(5s);
     instance.pass(4s, false);
     instance.handle(BackendsLearned{.Ended = ids});
-    instance.handle(NewsChecked{.CurrentAt = instance.Now});
+    instance.handle(FreshnessUpdated{.CurrentAt = instance.Now});
     instance.handle(BackendsLearned{.Present = {all.begin(), all.begin() + 4}});
     int atReturned = 0;
     constexpr int Flows = 200;
@@ -395,10 +395,10 @@
   // Cause: no packet carried before the last registration is known.
   void servesWhatItKnowsBeforeItKnowsAll() {
     Instance instance;
-    expectTrue(!instance.Steers.carries(), "nothing is known");
+    expectTrue(!instance.Steers.canForward(), "nothing is known");
     instance.handle(RoutesLearned{bothRoutes(1)});
     instance.handle(BackendsLearned{.Present = {server(1)}});
-    expectTrue(instance.Steers.carries() && !instance.Steers.serves(),
+    expectTrue(instance.Steers.canForward() && !instance.Steers.isReady(),
                "a part is known");
     expectEqual<uint64_t>(1, sentTo(instance.packet(Caller{}.open())));
     section("what it does not know yet is not refused", [&] {
@@ -409,7 +409,7 @@
     });
     section("when all is known, a service without servers is refused", [&] {
       instance.handle(BackendsComplete{});
-      instance.handle(NewsChecked{.CurrentAt = instance.Now});
+      instance.handle(FreshnessUpdated{.CurrentAt = instance.Now});
       Caller other{.Port = 4, .Route = Papers};
       expectTrue(resetWhy(instance.packet(other.open())) == Reason::NoTarget,
                  "reset");
@@ -523,7 +523,7 @@
   /// The same server, started at this Unix millisecond.
   static Registration bornAt(int64_t born) {
     Registration out = server(1);
-    out.Born = born;
+    out.StartedAtMs = born;
     return out;
   }
 
--- a/tests/TokenSamples.h
+++ b/tests/TokenSamples.h
@@ -79,7 +79,7 @@
   /// The packet's bytes are those of its sequence, so that tests know them
   /// again.
   Actions packet(const FlowPacket &head) {
-    return handle(PacketSeen{.Head = head, .Raw = Raw});
+    return handle(PacketReceived{.Head = head, .Raw = Raw});
   }
   /// Moves on in ticks, with the news current all the time.
   Actions pass(Duration time, bool current = true) {
@@ -87,7 +87,7 @@
     for (Time end = Now + time; Now < end;) {
       Now += 10ms;
       if (current)
-        Steers.handle(NewsChecked{.CurrentAt = Now}, Now, out);
+        Steers.handle(FreshnessUpdated{.CurrentAt = Now}, Now, out);
       Steers.handle(Tick{}, Now, out);
     }
     return out;
@@ -97,7 +97,7 @@
     handle(RoutesLearned{bothRoutes(version)});
     handle(BackendsLearned{.Present = std::move(servers)});
     handle(BackendsComplete{});
-    handle(NewsChecked{.CurrentAt = Now});
+    handle(FreshnessUpdated{.CurrentAt = Now});
   }
 
   Time Now = Start;
--- a/tests/WarmUpTest.cpp
+++ b/tests/WarmUpTest.cpp
@@ -39,7 +39,7 @@
   out.learn({});
   out.handle(RoutesLearned{limited(perSecond)});
   out.handle(InstancesLearned{peers});
-  out.pass(WarmUpLimits::Settling);
+  out.pass(WarmUpLimits::SettlingTime);
   return out;
 }
 
@@ -144,7 +144,7 @@
     instance.handle(BackendsLearned{.Present = {cold(1)}});
     expectEqual<size_t>(0, openedAt(instance, 1, 10, 5ms));
     section("after that it opens flows, if it is still alone", [&] {
-      instance.pass(WarmUpLimits::Settling);
+      instance.pass(WarmUpLimits::SettlingTime);
       instance.handle(BackendsLearned{.Present = {cold(1)}});
       expectTrue(openedAt(instance, 1, 10, 5ms) != 0, "it is the opener");
     });
--- a/tests/ZonesTest.cpp
+++ b/tests/ZonesTest.cpp
@@ -87,30 +87,30 @@
     Backend one{.Info = serverIn("b", 1)};
     Backend two{.Info = serverIn("b", 2)};
     for (int n = 0; n < 20; ++n) {
-      expectTrue(!zones.missed(one, Start), "one alone");
-      expectTrue(!zones.missed(two, Start), "two");
-      zones.progressed("b");
+      expectTrue(!zones.recordMiss(one, Start), "one alone");
+      expectTrue(!zones.recordMiss(two, Start), "two");
+      zones.recordAnswer("b");
     }
     section("one server that leaves all unanswered is no zone", [&] {
       for (int n = 0; n < 20; ++n)
-        expectTrue(!zones.missed(one, Start), "the same one");
+        expectTrue(!zones.recordMiss(one, Start), "the same one");
     });
     section("a row is", [&] {
-      zones.missed(two, Start);
-      expectTrue(zones.missed(one, Start), "three in a row");
-      expectTrue(zones.suspect("b", Start), "suspect");
-      expectTrue(!zones.suspect("b", Start + 1s), "for a while");
+      zones.recordMiss(two, Start);
+      expectTrue(zones.recordMiss(one, Start), "three in a row");
+      expectTrue(zones.isSuspect("b", Start), "suspect");
+      expectTrue(!zones.isSuspect("b", Start + 1s), "for a while");
     });
     section("until one answers", [&] {
-      zones.progressed("b");
-      expectTrue(!zones.suspect("b", Start), "at once");
+      zones.recordAnswer("b");
+      expectTrue(!zones.isSuspect("b", Start), "at once");
     });
   }
 
   void neverDoubtsItsOwnZone() {
     Zones zones("a", {});
     for (uint64_t id = 1; id < 20; ++id)
-      expectTrue(!zones.missed(Backend{.Info = serverIn("a", id)}, Start),
+      expectTrue(!zones.recordMiss(Backend{.Info = serverIn("a", id)}, Start),
                  "its own");
   }
 
@@ -155,27 +155,27 @@
 
   void estimatesForAllInstancesOfTheZone() {
     Zones alone("a", {});
-    expectEqual(0.0, alone.shareThatLeaves(Records));
-    alone.observe(Records, 4, 80, Start + 1h);
-    expectEqual(0.0, alone.shareThatLeaves(Records));
+    expectEqual(0.0, alone.spillShare(Records));
+    alone.recordLoad(Records, 4, 80, Start + 1h);
+    expectEqual(0.0, alone.spillShare(Records));
     std::vector<ZonedInstance> peers;
     for (uint32_t id = 1; id <= 28; ++id)
       peers.push_back({.Id = InstanceId{id}, .Zone = id <= 25 ? "a" : "b"});
     Zones zones("a", {});
-    zones.learn(peers);
-    zones.observe(Records, 8, 80, Start);
-    expectEqual(1.0, zones.shareThatLeaves(Records));
+    zones.setInstances(peers);
+    zones.recordLoad(Records, 8, 80, Start);
+    expectEqual(1.0, zones.spillShare(Records));
     section("of the service alone",
-            [&] { expectEqual(0.0, zones.shareThatLeaves(Certificates)); });
+            [&] { expectEqual(0.0, zones.spillShare(Certificates)); });
     section("over several requests of each caller", [&] {
-      zones.observe(Records, 0, 80, Start + 10ms);
-      expectEqual(1.0, zones.shareThatLeaves(Records));
-      zones.observe(Records, 0, 80, Start + 3s);
-      expectEqual(0.0, zones.shareThatLeaves(Records));
+      zones.recordLoad(Records, 0, 80, Start + 10ms);
+      expectEqual(1.0, zones.spillShare(Records));
+      zones.recordLoad(Records, 0, 80, Start + 3s);
+      expectEqual(0.0, zones.spillShare(Records));
     });
     section("all leave where nothing takes new flows", [&] {
-      zones.observe(Records, 0, 0, Start + 4s);
-      expectEqual(1.0, zones.shareThatLeaves(Records));
+      zones.recordLoad(Records, 0, 0, Start + 4s);
+      expectEqual(1.0, zones.spillShare(Records));
     });
   }
 };
--- a/tests/fuzz/registry_item.cpp
+++ b/tests/fuzz/registry_item.cpp
@@ -23,7 +23,7 @@
   edge::News news = dialect.translate(item, findings);
   if (const auto *server = std::get_if<token::Registration>(&news)) {
     require(findings.empty());
-    require(server->Slots > 0 && server->Born >= 0);
+    require(server->Slots > 0 && server->StartedAtMs >= 0);
   }
   if (const auto *record = std::get_if<edge::RouteRecord>(&news)) {
     (void)dialect.writeRouteRecords({*record});
