--- a/lib/edge/RegistrySync.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -249,7 +249,7 @@
   ++Traffic.UnreachableReports;
   if (!Doubts.shouldForward(doubt.Backend, now))
     return;
-  Pending.emplace_back(token::BackendDoubted{doubt.Backend});
+  Pending.emplace_back(token::BackendReportedUnreachable{doubt.Backend});
   passNews();
   sendDoubt(doubt.Backend, false);
 }
@@ -336,7 +336,7 @@
 }
 
 bool RegistrySync::mayRemind() const {
-  return Settings.Core.Use.OutageGossip && Reader.knowsAll() &&
+  return Settings.Core.Enabled.OutageGossip && Reader.knowsAll() &&
          Reader.mayPassOn();
 }
 
--- a/lib/edge/RegistryWriter.cpp
+++ b/lib/edge/RegistryWriter.cpp
@@ -36,7 +36,7 @@
     return announce(std::move(*call));
   if (!mayWriteShared)
     return;
-  if (Settings.Core.Use.RouteHistory)
+  if (Settings.Core.Enabled.RouteHistory)
     if (auto call = Recorder.next(stalenessLimit, now))
       return recordRoutes(std::move(*call));
   if (auto call = Directory.next(Copy, stalenessLimit, now))
@@ -52,7 +52,7 @@
   Time out = Record.nextAt();
   if (!mayWriteShared)
     return out;
-  if (Settings.Core.Use.RouteHistory)
+  if (Settings.Core.Enabled.RouteHistory)
     out = std::min(out, Recorder.nextAt(stalenessLimit));
   return std::min(out, Directory.nextAt(stalenessLimit));
 }
