--- a/bench/EdgeBench.cpp
+++ b/bench/EdgeBench.cpp
@@ -6,7 +6,7 @@
 
 #include "platform/StoreDialect.h"
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 #include "chicorybank/token/Core.h"
 
 #include <chrono>
@@ -132,12 +132,12 @@
 
 void measureNews(size_t servers) {
   platform::StoreDialect dialect;
-  std::string body = dialect.writePage(registrations(servers));
+  std::string body = dialect.serializePage(registrations(servers));
   Findings findings;
   double before = residentBytes();
-  edge::Mirror copy(dialect);
+  edge::RegistryCache copy(dialect);
   double whole = nanoseconds(
-      1, [&](size_t) { copy.replaceAll(*dialect.readPage(body), findings); });
+      1, [&](size_t) { copy.replaceAll(*dialect.parsePage(body), findings); });
   report("list_us, by servers", servers, whole / 1000);
   report("item_bytes, by servers", servers,
          (residentBytes() - before) / static_cast<double>(servers));
--- a/include/chicorybank/edge/Announcer.h
+++ b/include/chicorybank/edge/Announcer.h
@@ -13,7 +13,7 @@
 #ifndef CHICORYBANK_EDGE_ANNOUNCER_H
 #define CHICORYBANK_EDGE_ANNOUNCER_H
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 namespace chicory::edge {
 
@@ -41,7 +41,7 @@
   /// The call that is due, if any.
   std::optional<RegistryCall> next(Time now);
   Time nextAt() const { return Waiting ? Time::max() : DueAt; }
-  void answered(const NewsAnswer &answer, Time now);
+  void answered(const RegistryAnswer &answer, Time now);
   /// The copy has this record of ours, or none (null). It holds everything up
   /// to `asOf`: where news is late, a record that was written is not yet in it.
   void seen(const PeerRecord *own, Time asOf);
@@ -58,7 +58,7 @@
 private:
   enum class Phase : uint8_t { Looking, Leasing, Writing, Renewing };
 
-  void takeFormer(const NewsAnswer &answer);
+  void takeFormer(const RegistryAnswer &answer);
 
   const RegistryDialect &Dialect;
   PeerRecord Self;
@@ -67,7 +67,7 @@
   bool Waiting = false;
   bool LookAgain = false;
   /// How the record is looked up.
-  Freshness LookUp = Freshness::MayBeOld;
+  Freshness LookUp = Freshness::MayBeStale;
   int64_t Lease = 0;
   /// The generation that gave out the lease, where it is known.
   std::optional<Generation> LeaseGeneration;
--- a/include/chicorybank/edge/DirectoryWriter.h
+++ b/include/chicorybank/edge/DirectoryWriter.h
@@ -30,13 +30,14 @@
   explicit DirectoryWriter(const RegistryDialect &dialect) : Dialect(dialect) {}
 
   /// The copy here, and what the registry says of the stored directory.
-  void learn(const Mirror &copy, const DirectoryNote &stored, Time now);
+  void learn(const RegistryCache &copy, const DirectorySummary &stored,
+             Time now);
 
   /// The call that is due, if any. `patience`: of this instance with news.
   /// Call it only while the news is current.
-  std::optional<RegistryCall> next(const Mirror &copy, Duration patience,
+  std::optional<RegistryCall> next(const RegistryCache &copy, Duration patience,
                                    Time now);
-  void answered(const NewsAnswer &answer, Time now) {
+  void answered(const RegistryAnswer &answer, Time now) {
     Turn.answered(answer, now);
   }
   /// When `next` may have something to send.
@@ -46,7 +47,7 @@
 
 private:
   const RegistryDialect &Dialect;
-  DirectoryNote Stored;
+  DirectorySummary Stored;
   /// The zones whose parts are not as the copy has them.
   std::set<std::string> Changed;
   WriteTurn Turn;
--- a/include/chicorybank/edge/NewsSpread.h
+++ b/include/chicorybank/edge/NewsSpread.h
@@ -25,7 +25,7 @@
 #ifndef CHICORYBANK_EDGE_NEWSSPREAD_H
 #define CHICORYBANK_EDGE_NEWSSPREAD_H
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include <map>
 #include <vector>
@@ -36,7 +36,7 @@
 struct SpreadOptions {
   InstanceId Self;
   std::string Zone;
-  Duration Pace = std::chrono::milliseconds(500);
+  Duration PollInterval = std::chrono::milliseconds(500);
   /// News has to be in force everywhere within this time.
   Duration ApplyWithin = std::chrono::seconds(3);
   Duration RetryMost = std::chrono::milliseconds(800);
--- a/include/chicorybank/edge/Registry.h
+++ b/include/chicorybank/edge/Registry.h
@@ -3,7 +3,7 @@
 //
 // `RegistryDialect` is what a deployment's adapter implements. It translates
 // calls and answers and decides nothing; when to call, what to do about
-// outages and whom to believe is decided by `NewsReader`.
+// outages and whom to believe is decided by `RegistryWatcher`.
 
 #ifndef CHICORYBANK_EDGE_REGISTRY_H
 #define CHICORYBANK_EDGE_REGISTRY_H
@@ -39,12 +39,12 @@
   int64_t Lease = 0;
   /// From a read that may be old, even from before a restore: its position may
   /// be later than that of what holds now. Whatever is read otherwise is newer.
-  bool Yields = false;
+  bool MayBeStale = false;
 
   bool operator==(const Item &) const = default;
   /// Says more than what is known of the key.
   bool supersedes(const Item &known) const {
-    return Yields != known.Yields ? known.Yields : At > known.At;
+    return MayBeStale != known.MayBeStale ? known.MayBeStale : At > known.At;
   }
 };
 
@@ -64,9 +64,9 @@
       it.At.Generation = generation;
   }
   /// Its items are from a read that may be old.
-  void yieldToAll() {
+  void markMayBeStale() {
     for (Item &it : Items)
-      it.Yields = true;
+      it.MayBeStale = true;
   }
 };
 
@@ -85,7 +85,7 @@
   InstanceId Id;
   std::string Zone;
   /// For messages between instances (UDP), and for news (HTTP).
-  Address Peers;
+  Address PeerAddress;
   /// The instance is stopping as planned. It may be back within seconds.
   bool Leaving = false;
   /// The record has ended.
@@ -117,13 +117,14 @@
 
 /// Says what the directory holds (`Directory.h`). The directory itself is large
 /// and read by those that start alone. It has a part for each zone.
-struct DirectoryNote {
-  /// Of the registrations that it lists; see `Mirror::registrationDigests`.
+struct DirectorySummary {
+  /// Of the registrations that it lists; see
+  /// `RegistryCache::registrationDigests`.
   ZoneDigests Digests;
   /// Where the item was written; revision zero where there is none.
   Position At;
 
-  bool operator==(const DirectoryNote &) const = default;
+  bool operator==(const DirectorySummary &) const = default;
 };
 
 /// The operators drain a zone for as long as its item stands.
@@ -135,23 +136,25 @@
 };
 
 /// What one item says; `monostate` for items that don't concern an instance.
-using News = std::variant<std::monostate, token::RouteSet, token::Registration,
-                          RegistrationEnded, RegistrationUnreadable, PeerRecord,
-                          RouteRecord, DirectoryNote, ZoneDrain>;
+using ItemContent =
+    std::variant<std::monostate, token::RouteSet, token::Registration,
+                 RegistrationEnded, RegistrationUnreadable, PeerRecord,
+                 RouteRecord, DirectorySummary, ZoneDrain>;
 
 /// What a call is for. Each costs the registry something of its own, so they
 /// are counted apart.
 enum class CallKind : uint8_t {
-  List,        ///< A page of everything.
-  Watch,       ///< Changes behind a revision.
-  Lease,       ///< Creates or ends a lease.
-  Renewal,     ///< Renews a lease.
-  Announce,    ///< Writes this instance's record.
-  RouteRecord, ///< Writes the record of routes.
-  Orders,      ///< Reads what the operators have written, and nothing else.
-  Directory,   ///< Reads the directory of registrations.
-  PastRoutes,  ///< Reads the record of routes alone.
-  OwnRecord,   ///< Reads this instance's record.
+  List,                ///< A page of everything.
+  Watch,               ///< Changes behind a revision.
+  Lease,               ///< Creates or ends a lease.
+  Renewal,             ///< Renews a lease.
+  WriteInstanceRecord, ///< Writes this instance's record.
+  RouteRecord,         ///< Writes the record of routes.
+  OperatorSettings,    ///< Reads what the operators have written, and nothing
+                       ///< else.
+  Directory,           ///< Reads the directory of registrations.
+  PastRoutes,          ///< Reads the record of routes alone.
+  ReadInstanceRecord,  ///< Reads this instance's record.
   WriteDirectory,
 };
 inline constexpr size_t CallKindCount = 11;
@@ -164,7 +167,7 @@
   Current,
   /// May be seconds old, and costs the registry a tenth. It proves nothing
   /// about what holds now.
-  MayBeOld,
+  MayBeStale,
 };
 
 /// A request to the registry, ready to be sent.
@@ -184,14 +187,14 @@
   virtual std::string generationHeader() const = 0;
   /// Reads that header; nothing where it can't be read.
   virtual std::optional<Generation>
-  readGeneration(std::string_view text) const = 0;
+  parseGeneration(std::string_view text) const = 0;
 
   /// Reads every item behind the key `after`; empty starts at the first.
   virtual RegistryCall list(const std::string &after,
                             Freshness freshness) const = 0;
   /// Reads what the operators have written, the configuration and the zones
   /// that they drain, as it is now: a page of it, behind the key `after`.
-  virtual RegistryCall readOrders(const std::string &after) const = 0;
+  virtual RegistryCall readOperatorSettings(const std::string &after) const = 0;
   /// Reads the directory's part for a zone; it may be old.
   virtual RegistryCall readDirectory(const std::string &zone) const = 0;
   /// Reads a page of all parts of the directory, behind the key `after`; they
@@ -200,29 +203,30 @@
   /// Reads the record of routes alone; it may be old.
   virtual RegistryCall readRouteRecords() const = 0;
   /// Reads an instance's own record.
-  virtual RegistryCall readRecord(InstanceId id, Freshness freshness) const = 0;
+  virtual RegistryCall readInstanceRecord(InstanceId id,
+                                          Freshness freshness) const = 0;
   /// Reads the answer to a call that asks for one item.
   virtual tl::expected<Item, std::string>
-  readItem(const std::string &body) const = 0;
+  parseItem(const std::string &body) const = 0;
   /// Waits up to `wait` for changes behind a revision of the generation in
   /// which the registry is.
   virtual RegistryCall watch(int64_t revision, Duration wait) const = 0;
   /// Reads the answer of either; an error says what can't be read. Only pages
   /// of other instances tell their generation.
   virtual tl::expected<ItemPage, std::string>
-  readPage(const std::string &body) const = 0;
-  /// The inverse of `readPage`, for passing news on to other instances.
-  virtual std::string writePage(const ItemPage &page) const = 0;
+  parsePage(const std::string &body) const = 0;
+  /// The inverse of `parsePage`, for passing news on to other instances.
+  virtual std::string serializePage(const ItemPage &page) const = 0;
 
   /// Creates a lease that ends `life` after its last renewal.
   virtual RegistryCall createLease(Duration life) const = 0;
   virtual tl::expected<int64_t, std::string>
-  readLease(const std::string &body) const = 0;
+  parseLease(const std::string &body) const = 0;
   virtual RegistryCall renewLease(int64_t lease) const = 0;
-  virtual RegistryCall endLease(int64_t lease) const = 0;
+  virtual RegistryCall revokeLease(int64_t lease) const = 0;
   /// Writes this instance's record under a lease.
-  virtual RegistryCall announce(const PeerRecord &self,
-                                int64_t lease) const = 0;
+  virtual RegistryCall writeInstanceRecord(const PeerRecord &self,
+                                           int64_t lease) const = 0;
 
   /// Writes parts of the record of routes, each only where its item still has
   /// the revision that is named; all of them or none.
@@ -232,12 +236,12 @@
   /// Writes parts of the directory, by zone, and its note, where the note still
   /// has the revision that is named; all or none.
   virtual RegistryCall
-  writeDirectory(const DirectoryNote &note,
+  writeDirectory(const DirectorySummary &note,
                  const std::map<std::string, std::string> &parts) const = 0;
 
   /// What an item says. Faults go to the findings with their place; what can
   /// be read is returned all the same.
-  virtual News translate(const Item &item, Findings &findings) const = 0;
+  virtual ItemContent translate(const Item &item, Findings &findings) const = 0;
 };
 
 } // namespace chicory::edge
--- a/include/chicorybank/edge/Mirror.h
+++ b/include/chicorybank/edge/RegistryCache.h
@@ -9,8 +9,8 @@
 // held: they are believed as before, and stand for nothing in what is compared
 // with, or passed on to, other instances.
 
-#ifndef CHICORYBANK_EDGE_MIRROR_H
-#define CHICORYBANK_EDGE_MIRROR_H
+#ifndef CHICORYBANK_EDGE_REGISTRYCACHE_H
+#define CHICORYBANK_EDGE_REGISTRYCACHE_H
 
 #include "chicorybank/edge/Registry.h"
 
@@ -22,19 +22,23 @@
 
 /// An item that changed, and what it says.
 struct Change {
-  Item What;
-  News Meaning;
+  Item Source;
+  ItemContent Content;
 };
 
 /// Which of the items that a restored registry lacks. Servers write theirs
 /// again within a few heartbeats, instances with their next renewal, operators
 /// when they get to it.
-enum class HeldItems : uint8_t { Registrations, Instances, Orders };
+enum class RetainedItems : uint8_t {
+  Registrations,
+  Instances,
+  OperatorSettings
+};
 
 /// The copy.
-class Mirror {
+class RegistryCache {
 public:
-  explicit Mirror(const RegistryDialect &dialect) : Dialect(dialect) {}
+  explicit RegistryCache(const RegistryDialect &dialect) : Dialect(dialect) {}
 
   /// Takes changes that lead to a revision. Items that are older than what is
   /// known are ignored, whichever way they came. Returns those that matter.
@@ -44,28 +48,29 @@
 
   /// Takes a page of the first list before the rest of it is there. Returns
   /// what it tells; `replaceAll` has to follow with the whole list.
-  std::vector<Change> preview(const ItemPage &page, Findings &findings);
+  std::vector<Change> applyPartial(const ItemPage &page, Findings &findings);
 
   /// Takes everything that the operators have written, before the first list.
   /// That list may be older: an order that it has and these lack has ended.
-  std::vector<Change> takeOrders(const ItemPage &page, Findings &findings);
+  std::vector<Change> applyOperatorSettings(const ItemPage &page,
+                                            Findings &findings);
 
   /// The history has no gap behind a position.
-  bool reachesBackTo(Position position) const {
+  bool hasHistorySince(Position position) const {
     return position >= HistoryFrom && At != Position{};
   }
   /// The changes behind a position; nothing if the history has a gap there.
-  std::optional<ItemPage> since(Position position) const;
+  std::optional<ItemPage> changesSince(Position position) const;
   /// All items but those that are held.
-  ItemPage whole() const;
+  ItemPage snapshot() const;
   /// The newest routes, or null.
   const token::RouteSet *routes() const;
   Position position() const { return At; }
   /// So many items are held.
-  size_t heldCount() const { return HeldCount; }
+  size_t retainedCount() const { return HeldCount; }
   /// The time for writing such items again is over: what is still held has
   /// ended. Returns that.
-  std::vector<Change> endHeld(HeldItems kind, Findings &findings);
+  std::vector<Change> expireRetained(RetainedItems kind, Findings &findings);
   /// What was read is not of the registry's present history, as it turned out.
   /// It is believed until the whole list that has to follow.
   void forgetPositions();
@@ -86,12 +91,12 @@
   /// well, nothing that matters has changed in between, so that this copy is
   /// as of that revision. False: they differ, or are of two generations, in
   /// which equal items may have been written at different revisions.
-  bool adopt(Position position, uint64_t digest);
+  bool advanceIfEqual(Position position, uint64_t digest);
 
 private:
   struct Entry {
-    Item What;
-    News Meaning;
+    Item Source;
+    ItemContent Content;
     uint64_t Digest = 0;
     bool Held = false;
   };
@@ -130,7 +135,7 @@
   Position WholeFrom;
   std::map<std::string, Entry> Items;
   /// All orders of the operators that stood at this position are known.
-  Position OrdersAsOf;
+  Position OperatorSettingsAsOf;
   /// The key that holds the routes; empty while none does.
   std::string RoutesKey;
   std::deque<Past> History;
--- a/include/chicorybank/edge/NewsReader.h
+++ b/include/chicorybank/edge/RegistryWatcher.h
@@ -1,6 +1,6 @@
 // Keeps an instance's copy of the registry current.
 //
-// It reads what a start needs (`StartSequence.h`), then lists everything once;
+// It reads what a start needs (`StartupReads.h`), then lists everything once;
 // after that one instance of the deployment watches
 // and pushes what it hears, and the others ask only when their news grows older
 // than their patience (`NewsSpread.h`). Each answer shows that the news is
@@ -27,12 +27,12 @@
 // - two copies at one revision with different checksums, for two paces: one of
 //   them missed a change, and only the registry can tell which: listed again.
 
-#ifndef CHICORYBANK_EDGE_NEWSREADER_H
-#define CHICORYBANK_EDGE_NEWSREADER_H
+#ifndef CHICORYBANK_EDGE_REGISTRYWATCHER_H
+#define CHICORYBANK_EDGE_REGISTRYWATCHER_H
 
-#include "chicorybank/edge/Mirror.h"
 #include "chicorybank/edge/PeerMessages.h"
-#include "chicorybank/edge/StartSequence.h"
+#include "chicorybank/edge/RegistryCache.h"
+#include "chicorybank/edge/StartupReads.h"
 
 #include <map>
 #include <optional>
@@ -41,42 +41,42 @@
 namespace chicory::edge {
 
 /// Times of a news reader.
-struct NewsTimes {
+struct WatcherTimes {
   /// Between two calls of the one that watches, and how long a watch waits: the
   /// age that news reaches. A change and its passing on have to fit several
   /// times into the time in which it must be in force.
-  Duration Pace = std::chrono::milliseconds(500);
+  Duration PollInterval = std::chrono::milliseconds(500);
   /// A call without an answer is given up; a registry that is a hundred times
   /// slower than usual answers in 400 ms.
   Duration CallTimeout = std::chrono::milliseconds(1200);
   /// The first calls after the start come in a crowd; one that is lost is
   /// noticed sooner.
-  Duration FirstTimeout = std::chrono::milliseconds(400);
+  Duration StartupCallTimeout = std::chrono::milliseconds(400);
   /// Back-off after a failure, doubling, with a quarter of jitter.
-  Duration RetryLeast = std::chrono::milliseconds(50);
-  Duration RetryMost = std::chrono::milliseconds(800);
+  Duration RetryMin = std::chrono::milliseconds(50);
+  Duration RetryMax = std::chrono::milliseconds(800);
   /// Without news for this long the log says that it is stale; while all is
   /// well no instance waits as long.
-  Duration AwayAfter = std::chrono::milliseconds(1500);
+  Duration StaleAfter = std::chrono::milliseconds(1500);
   /// Between two lists that doubt caused.
-  Duration RelistLeast = std::chrono::milliseconds(1000);
+  Duration RelistMin = std::chrono::milliseconds(1000);
   /// The one that watches lists everything this often.
   Duration RelistEvery = std::chrono::seconds(8);
   /// What a restored registry lacks is believed for this long from the first
   /// list on, until whoever wrote it has written it again. Servers write each
   /// second or so.
-  Duration RegistrationsHeldFor = std::chrono::seconds(3);
+  Duration RetainRegistrationsFor = std::chrono::seconds(3);
   /// Instances write with their next renewal.
-  Duration InstancesHeldFor = std::chrono::seconds(6);
+  Duration RetainInstancesFor = std::chrono::seconds(6);
   /// Operators write by then at the latest. Once they have written anything,
   /// the rest follows soon: a drain that they took back across the restore has
   /// nothing that would tell of its end.
-  Duration OrdersHeldFor = std::chrono::seconds(6);
-  Duration OrdersFollowWithin = std::chrono::seconds(2);
+  Duration RetainOperatorSettingsFor = std::chrono::seconds(6);
+  Duration OperatorSettingsFollowWithin = std::chrono::seconds(2);
 };
 
 /// Counters of a news reader.
-struct NewsStats {
+struct WatcherStats {
   uint64_t Calls = 0;
   uint64_t Lists = 0;
   uint64_t Failures = 0;
@@ -90,7 +90,7 @@
   /// Restores of the registry that were noticed.
   uint64_t Generations = 0;
   /// Items that were held after a restore and never written again.
-  uint64_t HeldEnded = 0;
+  uint64_t RetainedExpired = 0;
   /// Pushes of another generation than the copy's, which show nothing.
   uint64_t OtherGenerations = 0;
   /// Answers of the registry with a revision below that of the copy.
@@ -98,13 +98,13 @@
 };
 
 /// A call to be made, with its time limit.
-struct NewsCall {
+struct TimedCall {
   RegistryCall Call;
   Duration Timeout;
 };
 
 /// The outcome of a call: a status and a body, or no answer.
-struct NewsAnswer {
+struct RegistryAnswer {
   /// Zero: no answer came.
   int Status = 0;
   std::string Body;
@@ -113,54 +113,54 @@
 };
 
 /// The state machine; it does no I/O. One registry call is under way at a time.
-class NewsReader {
+class RegistryWatcher {
 public:
   /// For an instance in this zone.
-  NewsReader(const RegistryDialect &dialect, NewsTimes times, uint64_t seed,
-             std::string zone);
+  RegistryWatcher(const RegistryDialect &dialect, WatcherTimes times,
+                  uint64_t seed, std::string zone);
 
   /// How old news may grow before this instance asks by itself, and how far it
   /// backs off while the registry fails. Both grow with the place in line.
-  void setPatience(Duration patience, Duration retryMost);
+  void setPatience(Duration patience, Duration retryMax);
 
   /// The call that is due, if any. It counts as sent.
-  std::optional<NewsCall> next(Time now);
+  std::optional<TimedCall> next(Time now);
   /// When `next` may have something to send.
   Time nextAt() const;
   /// The call's outcome. Appends what was learned. True: news came.
-  bool answered(const NewsAnswer &answer, Time now,
+  bool answered(const RegistryAnswer &answer, Time now,
                 std::vector<token::Event> &out);
 
   /// Another instance's push. `late`: it may have waited here for long, so it
   /// does not show that the news is current. Returns true where the changes
   /// have to be read from the sender; what is read is then as current as the
   /// push was.
-  bool takePush(const NewsPush &push, bool late, Time now,
-                std::vector<token::Event> &out);
+  bool applyPush(const NewsPush &push, bool late, Time now,
+                 std::vector<token::Event> &out);
   /// What is known may be passed on to other instances.
-  bool mayPassOn() const { return !Unproven; }
+  bool mayPassOn() const { return !Unconfirmed; }
   /// What was read from another instance.
-  void takePull(const ItemPage &page, bool whole, Time now,
-                std::vector<token::Event> &out);
+  void applyPull(const ItemPage &page, bool whole, Time now,
+                 std::vector<token::Event> &out);
   /// The changes that a push told of could not be read from its sender, so the
   /// registry is asked for them at once.
   void pullFailed() { AskNow = true; }
   /// An answer to another call than the reader's told this generation.
-  void heard(std::optional<Generation> generation, Time now);
+  void observeGeneration(std::optional<Generation> generation, Time now);
   /// What another instance knows, read while the registry has not answered
   /// since the start. It serves callers, but nobody knows how old it is.
-  void takeSeed(const ItemPage &page, std::vector<token::Event> &out);
+  void applySeed(const ItemPage &page, std::vector<token::Event> &out);
   /// The registry did not answer since the start, and a sender knows more. A
   /// sender with stale news shows that the registry is away as well as a call
   /// that failed, and earlier.
   bool needsSeed(const NewsPush &push) const {
-    bool failing = Stats.Failures != 0 || push.Age > Times.AwayAfter;
-    return !Complete && failing && push.Page.At > Copy.position();
+    bool failing = Stats.Failures != 0 || push.Age > Times.StaleAfter;
+    return !Complete && failing && push.Page.At > Cache.position();
   }
   /// A push with the changes behind a revision.
-  NewsPush push(InstanceId self, Position since, Time now) const;
+  NewsPush makePush(InstanceId self, Position since, Time now) const;
   /// The process or its machine stood still: what it believes may be old.
-  void doubtAll(Time now);
+  void revalidate(Time now);
 
   /// Faults in items, since the last call of this.
   Findings takeFindings() { return std::exchange(Faults, {}); }
@@ -168,79 +168,84 @@
   /// What is recorded of routes, by part.
   const RouteRecords &routeRecords() const { return Recorded; }
   /// What is known of the directory that the registry holds.
-  const DirectoryNote &directoryNote() const { return StoredDirectory; }
+  const DirectorySummary &directorySummary() const { return StoredDirectory; }
   /// What a start needs was read.
   bool started() const { return State != Phase::Starting; }
   /// Everything was read at least once.
   bool complete() const { return Complete; }
   /// Everything is known, from the registry or from another instance.
-  bool knowsAll() const { return Complete || Seeded; }
+  bool hasAllItems() const { return Complete || Seeded; }
   /// The news is older than it ever is while the registry answers.
-  bool away(Time now) const { return now - CurrentAt > Times.AwayAfter; }
+  bool isStale(Time now) const { return now - CurrentAt > Times.StaleAfter; }
   Time currentAt() const { return CurrentAt; }
-  const Mirror &mirror() const { return Copy; }
+  const RegistryCache &cache() const { return Cache; }
   /// The latest generation that the registry has told; nothing before its
   /// first answer.
-  const std::optional<Generation> &told() const { return Told; }
+  const std::optional<Generation> &latestGeneration() const {
+    return LatestGeneration;
+  }
   /// Where the registry stood when it answered last.
-  Position toldPosition() const { return ToldPosition; }
+  Position registryPosition() const { return RegistryPosition; }
   /// The copy is of the registry's generation. Until then conditions and leases
   /// that were read from it may hold by accident.
-  bool settled() const { return Told == Copy.position().Generation; }
-  const NewsStats &stats() const { return Stats; }
+  bool generationIsCurrent() const {
+    return LatestGeneration == Cache.position().Generation;
+  }
+  const WatcherStats &stats() const { return Stats; }
 
 private:
   enum class Phase : uint8_t { Starting, Listing, Watching };
 
-  void takeStart(const NewsAnswer &answer, Time now,
+  void takeStart(const RegistryAnswer &answer, Time now,
                  std::vector<token::Event> &out);
   void beginFirstList(Time now);
   void beginWatching(Time now, std::vector<token::Event> &out);
   /// What the directory named and the first list lacks.
-  void tellUnlisted(std::vector<token::Event> &out);
+  void endUnlistedServers(std::vector<token::Event> &out);
   RegistryCall nextCall(Time now);
   /// Takes a page of a list. True: it was the last.
   bool takeList(ItemPage page, Time now, std::vector<token::Event> &out);
   void takeChanges(const ItemPage &page, Time now,
                    std::vector<token::Event> &out);
   void failed(int status, Time now);
-  void showCurrent(Time at, std::vector<token::Event> &out);
-  void tell(std::vector<Change> changes, std::vector<token::Event> &out);
+  void markCurrent(Time at, std::vector<token::Event> &out);
+  void appendEvents(std::vector<Change> changes,
+                    std::vector<token::Event> &out);
   void startList(Time at);
   /// The first list is to come, and has not begun.
-  bool firstListIsAhead() const {
+  bool firstListIsPending() const {
     return !Complete && State == Phase::Listing && !Waiting && After.empty();
   }
   bool replacesFirstList(const NewsPush &push) const;
-  bool mustRead(const NewsPush &push) const;
-  void compare(bool differs, Time now);
+  bool mustPull(const NewsPush &push) const;
+  void trackDifference(bool differs, Time now);
   /// The push shows that the list which is due would find nothing.
-  bool settles(const NewsPush &push) const;
+  bool confirmsCache(const NewsPush &push) const;
   bool pageIsNext() const {
     return State == Phase::Listing || (Reviewing && !AskNow && PageTurn);
   }
   /// This instance is the one that watches.
-  bool watches() const { return Patience <= Times.Pace; }
+  bool watches() const { return Patience <= Times.PollInterval; }
 
-  void noteGeneration(const NewsAnswer &answer);
+  void noteGeneration(const RegistryAnswer &answer);
   /// Without a header, the generation that was told last.
-  Generation generationOf(const NewsAnswer &answer) const;
+  Generation generationOf(const RegistryAnswer &answer) const;
   void notePosition(const ItemPage &page);
   /// The list shows that the copy is of another history than the registry's.
   bool contradicts(const ItemPage &list) const;
   void rebase(ItemPage &list);
   /// Takes everything as of a position, and notices a restore.
-  void takeWhole(const ItemPage &page, Time now,
-                 std::vector<token::Event> &out);
+  void replaceCache(const ItemPage &page, Time now,
+                    std::vector<token::Event> &out);
   /// Ends what is held and was not written again, as of some time.
-  void endHeld(Time at, std::vector<token::Event> &out);
+  void expireRetained(Time at, std::vector<token::Event> &out);
 
-  NewsTimes Times;
+  WatcherTimes Times;
   const RegistryDialect &Dialect;
   std::mt19937_64 Random;
-  Mirror Copy;
+  RegistryCache Cache;
   Phase State = Phase::Starting;
-  StartSequence Start;
+  StartupReads Start;
   /// Of the list that comes next, or is under way.
   Freshness ListFreshness = Freshness::Current;
   bool Waiting = false;
@@ -254,7 +259,7 @@
   /// What was asked last.
   bool AskedForPage = false;
   Duration Patience;
-  Duration RetryMost;
+  Duration RetryMax;
   Duration Retry;
   /// There are changes that nobody else could give.
   bool AskNow = false;
@@ -273,32 +278,32 @@
   Position CopyAtListStart;
   std::map<InstanceId, PeerRecord> Peers;
   RouteRecords Recorded;
-  DirectoryNote StoredDirectory;
+  DirectorySummary StoredDirectory;
   /// The latest generation that the registry has told.
-  std::optional<Generation> Told;
+  std::optional<Generation> LatestGeneration;
   /// Answers have a header that tells it.
-  bool HeaderTold = false;
+  bool HasGenerationHeader = false;
   /// The copy is from a read that may be old, even from before a restore, and
   /// nothing current agreed with it yet. A watch behind it could not tell: its
   /// revision may have been given out again.
-  bool Unproven = false;
-  Position ToldPosition;
+  bool Unconfirmed = false;
+  Position RegistryPosition;
   /// The push whose changes are read from its sender: where they lead at least,
   /// and as of when its sender knew them to be current.
-  struct Announced {
+  struct PendingPull {
     Position To;
     Time AsOf;
   };
-  std::optional<Announced> Announcement;
+  std::optional<PendingPull> Pull;
   /// Since when other copies at this one's position have differed from it.
   std::optional<Time> DiffersSince;
   /// When a list last lacked what the copy then held.
   Time HeldSince;
-  Time OrdersHeldUntil;
+  Time RetainOperatorSettingsUntil;
   /// The operators have written since.
-  bool OrdersTold = false;
+  bool OperatorsHaveWritten = false;
   Findings Faults;
-  NewsStats Stats;
+  WatcherStats Stats;
 };
 
 } // namespace chicory::edge
--- a/include/chicorybank/edge/RouteRecorder.h
+++ b/include/chicorybank/edge/RouteRecorder.h
@@ -32,7 +32,7 @@
   /// Call it only while everything was read and the news is current: what
   /// was not read yet must not be taken for missing.
   std::optional<RegistryCall> next(Duration patience, Time now);
-  void answered(const NewsAnswer &answer, Time now) {
+  void answered(const RegistryAnswer &answer, Time now) {
     Turn.answered(answer, now);
   }
   /// When `next` may have something to send.
--- a/include/chicorybank/edge/Settings.h
+++ b/include/chicorybank/edge/Settings.h
@@ -4,7 +4,7 @@
 #define CHICORYBANK_EDGE_SETTINGS_H
 
 #include "chicorybank/base/Findings.h"
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 #include "chicorybank/token/Core.h"
 
 #include <optional>
@@ -26,7 +26,7 @@
   /// over TCP, same port).
   Address Peers;
   Address Registry;
-  NewsTimes News;
+  WatcherTimes News;
   token::CoreOptions Core;
   /// From the order to stop until the end. Routers ask twice a second and turn
   /// away after two refusals; the rest is for packets under way.
--- a/include/chicorybank/edge/StartSequence.h
+++ b/include/chicorybank/edge/StartupReads.h
@@ -17,39 +17,40 @@
 //    the first they would keep the registry's link from those that have not
 //    read their own.
 //
-// The list of everything follows, later by up to `ListSpread` for each server,
-// so that lists leave the registry's link to those that start. A neighbour that
-// has listed by then serves it to the others.
+// The list of everything follows, later by up to `ListDelayPerServer` for each
+// server, so that lists leave the registry's link to those that start. A
+// neighbour that has listed by then serves it to the others.
 
-#ifndef CHICORYBANK_EDGE_STARTSEQUENCE_H
-#define CHICORYBANK_EDGE_STARTSEQUENCE_H
+#ifndef CHICORYBANK_EDGE_STARTUPREADS_H
+#define CHICORYBANK_EDGE_STARTUPREADS_H
 
-#include "chicorybank/edge/Mirror.h"
+#include "chicorybank/edge/RegistryCache.h"
 
 #include <set>
 
 namespace chicory::edge {
 
 /// The state machine; it does no I/O.
-class StartSequence {
+class StartupReads {
 public:
   /// For each server that the directory names. A list of 400 bytes a server
   /// takes a tenth of that on a link of 20 Mbit/s, and passing it on in a tree
   /// of three steps a half.
-  static constexpr Duration ListSpread = std::chrono::microseconds(1500);
+  static constexpr Duration ListDelayPerServer =
+      std::chrono::microseconds(1500);
   /// Above it a start that nobody tells anything would know too late who has
   /// ended.
-  static constexpr Duration ListSpreadMost = std::chrono::seconds(20);
+  static constexpr Duration ListDelayMax = std::chrono::seconds(20);
   /// For each pair of an instance and a server of its own zone. 985 instances
   /// with 2,000 servers in each of five zones read 172 MB of the other zones'
   /// parts in two seconds: two thirds of a link of 1,000 Mbit/s.
-  static constexpr std::chrono::nanoseconds OtherPartsSpread{1000};
+  static constexpr std::chrono::nanoseconds OtherPartsDelayPerPair{1000};
   /// So many list without a wait, and tell the others. One may be cut off or
   /// slow, and in each zone there should be one.
   static constexpr size_t EarlyLists = 8;
 
   /// For an instance in this zone.
-  StartSequence(const RegistryDialect &dialect, std::string zone)
+  StartupReads(const RegistryDialect &dialect, std::string zone)
       : Dialect(dialect), Zone(std::move(zone)) {}
 
   /// Everything was read: the list comes next.
@@ -60,38 +61,41 @@
   /// body says that there is no such key.
   /// Items go to the copy, and what they tell is appended. An error says what
   /// can't be read.
-  tl::expected<void, std::string> take(const std::string &body,
-                                       Generation generation, Mirror &copy,
-                                       Findings &findings,
-                                       std::vector<Change> &out);
+  tl::expected<void, std::string> handleAnswer(const std::string &body,
+                                               Generation generation,
+                                               RegistryCache &copy,
+                                               Findings &findings,
+                                               std::vector<Change> &out);
 
   /// How long the call that comes now may wait at most.
-  Duration nextSpread() const;
+  Duration callDelayMax() const;
 
   /// The servers that the directory named. Those that the first list lacks
   /// have to be told as ended, since no item of the copy stands for them.
-  const std::set<token::BackendId> &named() const { return Named; }
+  const std::set<token::BackendId> &directoryServers() const { return Named; }
   /// How long the list may wait at most: nothing where there was no directory.
-  Duration listSpread() const;
+  Duration listDelayMax() const;
   /// Of those that may start at once, this share lists without a wait.
-  double earlyShare() const;
+  double earlyListShare() const;
 
 private:
   enum class Step : uint8_t {
     Directory,
-    Orders,
+    OperatorSettings,
     PastRoutes,
     OtherDirectories,
     Done
   };
 
-  tl::expected<void, std::string> takeOrders(const std::string &body,
-                                             Generation generation,
-                                             Mirror &copy, Findings &findings,
-                                             std::vector<Change> &out);
   tl::expected<void, std::string>
-  takePastRoutes(const std::string &body, Generation generation, Mirror &copy,
-                 Findings &findings, std::vector<Change> &out);
+  applyOperatorSettings(const std::string &body, Generation generation,
+                        RegistryCache &copy, Findings &findings,
+                        std::vector<Change> &out);
+  tl::expected<void, std::string> takePastRoutes(const std::string &body,
+                                                 Generation generation,
+                                                 RegistryCache &copy,
+                                                 Findings &findings,
+                                                 std::vector<Change> &out);
   tl::expected<void, std::string> takeDirectory(const std::string &body,
                                                 std::vector<Change> &out);
   tl::expected<void, std::string>
@@ -103,7 +107,7 @@
   std::string Zone;
   Step State = Step::Directory;
   /// The orders that have been read, where they take several pages.
-  ItemPage Orders;
+  ItemPage OperatorSettings;
   /// The last part of the directory that was read among all of them.
   std::string LastPart;
   std::set<token::BackendId> Named;
--- a/include/chicorybank/edge/WriteTurn.h
+++ b/include/chicorybank/edge/WriteTurn.h
@@ -11,7 +11,7 @@
 #ifndef CHICORYBANK_EDGE_WRITETURN_H
 #define CHICORYBANK_EDGE_WRITETURN_H
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 namespace chicory::edge {
 
@@ -49,7 +49,7 @@
     Waiting = true;
     SentAsOf = StoredAsOf;
   }
-  void answered(const NewsAnswer &answer, Time now);
+  void answered(const RegistryAnswer &answer, Time now);
   /// From now on the first in line waits for this long.
   void settleFor(Duration time) { Times.SettleFor = time; }
 
--- a/lib/edge/Announcer.cpp
+++ b/lib/edge/Announcer.cpp
@@ -19,18 +19,18 @@
   }
   switch (State) {
   case Phase::Looking:
-    return Dialect.readRecord(Self.Id, LookUp);
+    return Dialect.readInstanceRecord(Self.Id, LookUp);
   case Phase::Leasing:
     return Dialect.createLease(Times.LeaseLife);
   case Phase::Writing:
-    return Dialect.announce(Self, Lease);
+    return Dialect.writeInstanceRecord(Self, Lease);
   case Phase::Renewing:
     break;
   }
   return Dialect.renewLease(Lease);
 }
 
-void Announcer::answered(const NewsAnswer &answer, Time now) {
+void Announcer::answered(const RegistryAnswer &answer, Time now) {
   Waiting = false;
   DueAt = now + Times.RetryAfter;
   bool known = answer.Status == HttpOk || answer.Status == HttpNotFound;
@@ -50,7 +50,7 @@
   case Phase::Looking:
     break;
   case Phase::Leasing: {
-    auto lease = Dialect.readLease(answer.Body);
+    auto lease = Dialect.parseLease(answer.Body);
     if (!lease)
       return;
     Lease = *lease;
@@ -77,15 +77,15 @@
   DueAt = now + Times.RenewEvery;
 }
 
-void Announcer::takeFormer(const NewsAnswer &answer) {
+void Announcer::takeFormer(const RegistryAnswer &answer) {
   State = Phase::Leasing;
   if (answer.Status != HttpOk)
     return;
-  auto item = Dialect.readItem(answer.Body);
+  auto item = Dialect.parseItem(answer.Body);
   if (!item || item->Lease == 0)
     return;
   Findings ignored;
-  News news = Dialect.translate(*item, ignored);
+  ItemContent news = Dialect.translate(*item, ignored);
   const auto *record = std::get_if<PeerRecord>(&news);
   Lease = item->Lease;
   LeaseGeneration = answer.Generation;
@@ -107,9 +107,9 @@
   if (State == Phase::Leasing || State == Phase::Looking || LookAgain)
     return std::nullopt;
   if (State == Phase::Writing)
-    return Dialect.endLease(Lease);
+    return Dialect.revokeLease(Lease);
   Self.Leaving = true;
-  return Dialect.announce(Self, Lease);
+  return Dialect.writeInstanceRecord(Self, Lease);
 }
 
 } // namespace chicory::edge
--- a/lib/edge/ControlDuty.cpp
+++ b/lib/edge/ControlDuty.cpp
@@ -97,7 +97,7 @@
 /// The figures that explain most, for whoever has logs alone.
 void ControlDuty::writeStatus() {
   EdgeStats stats = Common.stats();
-  const NewsStats &news = News.stats();
+  const WatcherStats &news = News.stats();
   RegistryCounts calls = News.calls();
   constexpr double MsPerSecond = 1000;
   Lines.write(
@@ -105,11 +105,11 @@
           .with("rules", static_cast<int64_t>(stats.RuleVersion))
           .with("news_age_ms",
                 static_cast<int64_t>(stats.NewsAgeSeconds * MsPerSecond))
-          .with("revision", News.reader().mirror().position().Revision)
-          .with("registry_revision", News.reader().toldPosition().Revision)
+          .with("revision", News.reader().cache().position().Revision)
+          .with("registry_revision", News.reader().registryPosition().Revision)
           .with("generation",
                 static_cast<int64_t>(
-                    News.reader().mirror().position().Generation.Value))
+                    News.reader().cache().position().Generation.Value))
           .with("servers", static_cast<int64_t>(stats.Servers))
           .with("drained_zones", namesOf(stats.Drained))
           .with("flows", static_cast<int64_t>(stats.Flows))
--- a/lib/edge/DirectoryWriter.cpp
+++ b/lib/edge/DirectoryWriter.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-void DirectoryWriter::learn(const Mirror &copy, const DirectoryNote &stored,
-                            Time now) {
+void DirectoryWriter::learn(const RegistryCache &copy,
+                            const DirectorySummary &stored, Time now) {
   Stored = stored;
   Changed = differences(copy.registrationDigests(), stored.Digests);
   std::erase_if(Changed, [&](const std::string &zone) {
@@ -41,13 +41,13 @@
   Turn.learn(!Changed.empty(), stored.At, now);
 }
 
-std::optional<RegistryCall> DirectoryWriter::next(const Mirror &copy,
+std::optional<RegistryCall> DirectoryWriter::next(const RegistryCache &copy,
                                                   Duration patience, Time now) {
   if (now < nextAt(patience))
     return std::nullopt;
   Turn.begin();
   ZoneDigests digests = copy.registrationDigests();
-  DirectoryNote note = Stored;
+  DirectorySummary note = Stored;
   std::map<std::string, std::string> parts;
   for (const std::string &zone : Changed) {
     if (parts.size() == MostParts)
--- a/lib/edge/Metrics.cpp
+++ b/lib/edge/Metrics.cpp
@@ -52,7 +52,7 @@
         << "\"} " << counts[n] << '\n';
 }
 
-void registryFigures(std::ostringstream &out, const NewsStats &news,
+void registryFigures(std::ostringstream &out, const WatcherStats &news,
                      const RegistryCounts &calls) {
   byKind(out, "chicory_registry_calls_total", "Registry calls, by kind",
          calls.Made);
@@ -65,7 +65,8 @@
   single(out, "chicory_registry_generations_total", "counter",
          "Restores of the registry that were noticed", news.Generations);
   single(out, "chicory_registry_items_lost_total", "counter",
-         "Items that a restore lost and nobody wrote again", news.HeldEnded);
+         "Items that a restore lost and nobody wrote again",
+         news.RetainedExpired);
   single(out, "chicory_news_pushes_other_generation_total", "counter",
          "Pushes of another generation than this instance's copy",
          news.OtherGenerations);
@@ -87,7 +88,7 @@
          recorder.Failed);
 }
 
-void peerFigures(std::ostringstream &out, const NewsStats &news,
+void peerFigures(std::ostringstream &out, const WatcherStats &news,
                  const PeerStats &peers) {
   single(out, "chicory_news_pushes_total", "counter",
          "Pushes of news from other instances", news.Pushes);
@@ -108,7 +109,7 @@
 
 } // namespace
 
-std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &news,
+std::string renderEdgeMetrics(const EdgeStats &edge, const WatcherStats &news,
                               const RegistryCounts &calls,
                               const PeerStats &peers,
                               const WriteStats &recorder) {
--- a/lib/edge/Metrics.h
+++ b/lib/edge/Metrics.h
@@ -10,7 +10,7 @@
 namespace chicory::edge {
 
 /// All figures as text.
-std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &news,
+std::string renderEdgeMetrics(const EdgeStats &edge, const WatcherStats &news,
                               const RegistryCounts &calls,
                               const PeerStats &peers,
                               const WriteStats &recorder);
--- a/lib/edge/NewsDuty.cpp
+++ b/lib/edge/NewsDuty.cpp
@@ -27,13 +27,13 @@
       Reader(dialect, settings.News, settings.Core.Seed, settings.Zone),
       Spread({.Self = InstanceId{settings.Ip},
               .Zone = settings.Zone,
-              .Pace = settings.News.Pace,
+              .PollInterval = settings.News.PollInterval,
               .ApplyWithin = settings.Core.ApplyWithin,
-              .RetryMost = settings.News.RetryMost,
+              .RetryMost = settings.News.RetryMax,
               .Seed = settings.Core.Seed}),
-      Records(loop, log, settings, dialect, Reader.mirror()),
+      Records(loop, log, settings, dialect, Reader.cache()),
       Registry(loop, settings.Ip, settings.Registry, dialect),
-      Pages(loop, settings.Ip, Reader.mirror()),
+      Pages(loop, settings.Ip, Reader.cache()),
       Others(InstanceId{settings.Ip}, settings.Zone) {
   Reader.setPatience(Spread.patience(), Spread.retryMost());
   Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { readPushes(); });
@@ -45,9 +45,9 @@
   passNews();
   shareDoubts(now);
   learnRecord(now);
-  Reader.heard(Records.takeTold(), now);
-  if (Reader.told())
-    Records.learnGeneration(Reader.told());
+  Reader.observeGeneration(Records.takeTold(), now);
+  if (Reader.latestGeneration())
+    Records.learnGeneration(Reader.latestGeneration());
   if (!Leaving) {
     callRegistry(now);
     noteRegistry(now);
@@ -71,7 +71,7 @@
 void NewsDuty::callRegistry(Time now) {
   if (Registry.busy())
     return;
-  std::optional<NewsCall> call = Reader.next(now);
+  std::optional<TimedCall> call = Reader.next(now);
   if (!call)
     return;
   CallKind kind = call->Call.Kind;
@@ -110,13 +110,13 @@
 void NewsDuty::learnRecord(Time now) {
   if (!std::exchange(RoutesChanged, false))
     return;
-  Records.learn(Reader.mirror().routes(), Reader.routeRecords(), now);
+  Records.learn(Reader.cache().routes(), Reader.routeRecords(), now);
 }
 
 void NewsDuty::takeAnswer(const HttpClient::Result &result) {
   Time now = steadyNow();
   std::vector<token::Event> news;
-  Position before = Reader.mirror().position();
+  Position before = Reader.cache().position();
   bool learned = Reader.answered(newsAnswer(result, Dialect), now, news);
   noteRestore(before, InstanceId{});
   tell(std::move(news), InstanceId{}, now);
@@ -129,14 +129,14 @@
     return;
   // What came before the first list is nobody's change.
   if (PushedTo == Position{})
-    PushedTo = Reader.mirror().position();
+    PushedTo = Reader.cache().position();
   sendPush(true, now);
 }
 
 /// `copy_revision` above `revision`: what was read in between is lost in the
 /// registry. `held` items of it wait for being written again.
 void NewsDuty::noteRestore(const Position &before, InstanceId from) {
-  Position after = Reader.mirror().position();
+  Position after = Reader.cache().position();
   if (before == Position{} || before.Generation == after.Generation)
     return;
   Lines.write(
@@ -146,7 +146,7 @@
           .with("former", static_cast<int64_t>(before.Generation.Value))
           .with("copy_revision", before.Revision)
           .with("revision", after.Revision)
-          .with("held", static_cast<int64_t>(Reader.mirror().heldCount())));
+          .with("held", static_cast<int64_t>(Reader.cache().retainedCount())));
 }
 
 void NewsDuty::tell(std::vector<token::Event> news, InstanceId from, Time now) {
@@ -169,7 +169,7 @@
   auto own = Others.known().find(InstanceId{Settings.Ip});
   Records.seen(own == Others.known().end() ? nullptr : &own->second,
                Reader.currentAt());
-  Records.learnDirectory(Reader.directoryNote(), now);
+  Records.learnDirectory(Reader.directorySummary(), now);
 }
 
 /// From whom an order came shows whether the registry was asked or a neighbour
@@ -179,7 +179,7 @@
   Lines.write(LogLine("zone_drain_learned")
                   .with("zone", drain.Zone)
                   .with("active", drain.Active ? 1 : 0)
-                  .with("revision", Reader.mirror().position().Revision)
+                  .with("revision", Reader.cache().position().Revision)
                   .with("from", senderName(from)));
 }
 
@@ -263,13 +263,14 @@
     return pullSeed(push.Sender);
   Time before = Reader.currentAt();
   std::vector<token::Event> news;
-  bool behind = Reader.takePush(push, now < LateUntil, now, news);
+  bool behind = Reader.applyPush(push, now < LateUntil, now, news);
   tell(std::move(news), push.Sender, now);
   if (behind)
     return pull(push.Sender, !Reader.complete());
   // Half a pace newer than what was passed on last: worth a datagram to each.
-  bool newer = Reader.currentAt() - PushedAsOf >= Settings.News.Pace / 2 ||
-               Reader.mirror().position() > PushedTo;
+  bool newer =
+      Reader.currentAt() - PushedAsOf >= Settings.News.PollInterval / 2 ||
+      Reader.cache().position() > PushedTo;
   if (Reader.currentAt() > before && newer)
     sendPush(false, now);
 }
@@ -278,8 +279,8 @@
   if (!Reader.mayPassOn())
     return;
   std::vector<Address> targets = Spread.targets(asked);
-  NewsPush push = Reader.push(InstanceId{Settings.Ip}, PushedTo, now);
-  PushedTo = Reader.mirror().position();
+  NewsPush push = Reader.makePush(InstanceId{Settings.Ip}, PushedTo, now);
+  PushedTo = Reader.cache().position();
   PushedAsOf = Reader.currentAt();
   if (targets.empty())
     return;
@@ -303,7 +304,7 @@
     return;
   std::optional<Position> since;
   if (!whole)
-    since = Reader.mirror().position();
+    since = Reader.cache().position();
   Pages.read(from, addressOf(from), since,
              [this](const PageRead &page) { takePulled(page); });
 }
@@ -313,7 +314,7 @@
   auto it = Others.known().find(id);
   return it == Others.known().end()
              ? Address{.Ip = id.Value, .Port = Settings.Peers.Port}
-             : it->second.Peers;
+             : it->second.PeerAddress;
 }
 
 void NewsDuty::remindOthers(Time now) {
@@ -326,14 +327,15 @@
     return;
   // Whoever lacks something reads it from here.
   NewsPush push =
-      Reader.push(InstanceId{Settings.Ip}, Reader.mirror().position(), now);
+      Reader.makePush(InstanceId{Settings.Ip}, Reader.cache().position(), now);
   std::string bytes = encodePush(push);
   for (Address it : targets)
     send(bytes, it);
 }
 
 bool NewsDuty::mayRemind() const {
-  return Settings.Core.Use.Reminders && Reader.knowsAll() && Reader.mayPassOn();
+  return Settings.Core.Use.Reminders && Reader.hasAllItems() &&
+         Reader.mayPassOn();
 }
 
 void NewsDuty::pullSeed(InstanceId from) {
@@ -349,7 +351,7 @@
   if (!read.Page)
     return Lines.write(line.with("why", read.Why));
   std::vector<token::Event> news;
-  Reader.takeSeed(*read.Page, news);
+  Reader.applySeed(*read.Page, news);
   Lines.write(line.with("revision", read.Page->At.Revision));
   tell(std::move(news), read.From, steadyNow());
 }
@@ -365,8 +367,8 @@
   }
   Time now = steadyNow();
   std::vector<token::Event> news;
-  Position before = Reader.mirror().position();
-  Reader.takePull(*read.Page, read.Whole, now, news);
+  Position before = Reader.cache().position();
+  Reader.applyPull(*read.Page, read.Whole, now, news);
   noteRestore(before, read.From);
   tell(std::move(news), read.From, now);
   sendPush(false, now);
@@ -376,16 +378,16 @@
   // Long enough to read what waits in the socket.
   constexpr Duration Reading = std::chrono::milliseconds(100);
   LateUntil = now + Reading;
-  Reader.doubtAll(now);
+  Reader.revalidate(now);
 }
 
 void NewsDuty::noteRegistry(Time now) {
-  bool away = Reader.knowsAll() && Reader.away(now);
+  bool away = Reader.hasAllItems() && Reader.isStale(now);
   if (away == Away)
     return;
   Away = away;
   Lines.write(LogLine(away ? "news_stale" : "news_current")
-                  .with("revision", Reader.mirror().position().Revision));
+                  .with("revision", Reader.cache().position().Revision));
 }
 
 void NewsDuty::boundsChanged(const token::BoundsChanged &bounds) {
--- a/lib/edge/NewsDuty.h
+++ b/lib/edge/NewsDuty.h
@@ -46,8 +46,8 @@
   void boundsChanged(const token::BoundsChanged &bounds);
   /// Takes this instance out of the others' order.
   void leave();
-  const NewsStats &stats() const { return Reader.stats(); }
-  const NewsReader &reader() const { return Reader; }
+  const WatcherStats &stats() const { return Reader.stats(); }
+  const RegistryWatcher &reader() const { return Reader; }
   /// Calls to the registry, of whatever kind.
   RegistryCounts calls() const;
   const PeerStats &peerStats() const { return Traffic; }
@@ -74,7 +74,7 @@
   /// What is missing here is missing in the registry, and calls to it are not
   /// wasted.
   bool mayWrite() const {
-    return Reader.complete() && !Away && Reader.settled();
+    return Reader.complete() && !Away && Reader.generationIsCurrent();
   }
   void takePeers(Time now);
   void takePulled(const PageRead &read);
@@ -94,7 +94,7 @@
   Shared &Common;
   Loop &Events;
   FileDescriptor Socket;
-  NewsReader Reader;
+  RegistryWatcher Reader;
   NewsSpread Spread;
   RecordDuty Records;
   RegistryClient Registry;
--- a/lib/edge/NewsFromPeers.cpp
+++ b/lib/edge/NewsFromPeers.cpp
@@ -1,6 +1,6 @@
 // What a news reader makes of other instances' pushes and pages.
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,34 +18,35 @@
 
 } // namespace
 
-bool NewsReader::takePush(const NewsPush &push, bool late, Time now,
-                          std::vector<token::Event> &out) {
+bool RegistryWatcher::applyPush(const NewsPush &push, bool late, Time now,
+                                std::vector<token::Event> &out) {
   ++Stats.Pushes;
   if (!Complete && (late || !replacesFirstList(push)))
     return false;
   if (Complete)
-    Copy.adopt(push.Page.At, push.Digest);
-  if (!Complete || mustRead(push)) {
-    Announcement.reset();
+    Cache.advanceIfEqual(push.Page.At, push.Digest);
+  if (!Complete || mustPull(push)) {
+    Pull.reset();
     if (!late)
-      Announcement = {.To = push.Page.At, .AsOf = now - push.Age};
+      Pull = {.To = push.Page.At, .AsOf = now - push.Age};
     return true;
   }
-  bool behind = push.Page.At > Copy.position();
-  if (push.Page.At.Generation != Copy.position().Generation) {
+  bool behind = push.Page.At > Cache.position();
+  if (push.Page.At.Generation != Cache.position().Generation) {
     ++Stats.OtherGenerations;
     return behind;
   }
   if (behind)
-    tell(Copy.apply(push.Page, Faults), out);
-  bool agrees = push.Page.At == Copy.position() && push.Digest == Copy.digest();
-  Unproven = Unproven && !agrees;
-  if (!late && !Unproven)
-    showCurrent(now - push.Age, out);
-  if (!late && settles(push))
+    appendEvents(Cache.apply(push.Page, Faults), out);
+  bool agrees =
+      push.Page.At == Cache.position() && push.Digest == Cache.digest();
+  Unconfirmed = Unconfirmed && !agrees;
+  if (!late && !Unconfirmed)
+    markCurrent(now - push.Age, out);
+  if (!late && confirmsCache(push))
     State = Phase::Watching;
-  if (push.Page.At == Copy.position())
-    compare(push.Digest != Copy.digest(), now);
+  if (push.Page.At == Cache.position())
+    trackDifference(push.Digest != Cache.digest(), now);
   return false;
 }
 
@@ -53,33 +54,33 @@
 /// was listed while things changed holds some changes behind its position, and
 /// has caught up by the next push; were that taken for a missed change, lists
 /// would lead to further lists while servers register by the hundred.
-void NewsReader::compare(bool differs, Time now) {
+void RegistryWatcher::trackDifference(bool differs, Time now) {
   if (!differs) {
     DiffersSince.reset();
     return;
   }
   if (!DiffersSince)
     DiffersSince = now;
-  if (now - *DiffersSince < DiffersForPaces * Times.Pace || Waiting ||
-      State != Phase::Watching || now - LastList < Times.RelistLeast)
+  if (now - *DiffersSince < DiffersForPaces * Times.PollInterval || Waiting ||
+      State != Phase::Watching || now - LastList < Times.RelistMin)
     return;
   DiffersSince.reset();
   startList(std::max(DueAt, now));
 }
 
 /// The push lacks changes that this copy lacks as well.
-bool NewsReader::mustRead(const NewsPush &push) const {
-  return push.Page.At > Copy.position() &&
-         (!push.Complete || push.Base > Copy.position());
+bool RegistryWatcher::mustPull(const NewsPush &push) const {
+  return push.Page.At > Cache.position() &&
+         (!push.Complete || push.Base > Cache.position());
 }
 
 /// Everything can be read from the sender. Where all instances start at once,
 /// each list is megabytes on the registry's link and a call for each of its
 /// pages; one sees that link full for half a minute, and `registry_calls` with
 /// as many lists as there are pages.
-bool NewsReader::replacesFirstList(const NewsPush &push) const {
-  return firstListIsAhead() && push.Age < Times.AwayAfter &&
-         push.Page.At.Generation == Told;
+bool RegistryWatcher::replacesFirstList(const NewsPush &push) const {
+  return firstListIsPending() && push.Age < Times.StaleAfter &&
+         push.Page.At.Generation == LatestGeneration;
 }
 
 /// A list is due since this copy may have missed a change, and the push is by
@@ -87,54 +88,55 @@
 /// none. Otherwise hundreds would list at once when the registry is back from
 /// an outage; one sees `registry_calls` with lists of each instance, and the
 /// registry's link full.
-bool NewsReader::settles(const NewsPush &push) const {
+bool RegistryWatcher::confirmsCache(const NewsPush &push) const {
   bool due = State == Phase::Listing && Complete && !Waiting && After.empty();
-  return due && push.Age < Times.AwayAfter && settled() &&
-         push.Page.At == Copy.position() && push.Digest == Copy.digest();
+  return due && push.Age < Times.StaleAfter && generationIsCurrent() &&
+         push.Page.At == Cache.position() && push.Digest == Cache.digest();
 }
 
-void NewsReader::takePull(const ItemPage &page, bool whole, Time now,
-                          std::vector<token::Event> &out) {
+void RegistryWatcher::applyPull(const ItemPage &page, bool whole, Time now,
+                                std::vector<token::Event> &out) {
   ++Stats.Pulls;
   Stats.WholePulls += whole ? 1 : 0;
-  std::optional<Announced> told = std::exchange(Announcement, std::nullopt);
+  std::optional<PendingPull> pull = std::exchange(Pull, std::nullopt);
   // A list that has begun meanwhile goes on.
-  if (!Complete && !firstListIsAhead())
+  if (!Complete && !firstListIsPending())
     return;
   if (whole) {
-    Unproven = false;
-    takeWhole(page, now, out);
+    Unconfirmed = false;
+    replaceCache(page, now, out);
   } else {
-    tell(Copy.apply(page, Faults), out);
+    appendEvents(Cache.apply(page, Faults), out);
   }
   if (!Complete)
     beginWatching(now, out);
-  bool holdsAll = told && Copy.position() >= told->To &&
-                  Copy.position().Generation == told->To.Generation &&
-                  !Unproven;
+  bool holdsAll = pull && Cache.position() >= pull->To &&
+                  Cache.position().Generation == pull->To.Generation &&
+                  !Unconfirmed;
   if (holdsAll)
-    showCurrent(told->AsOf, out);
+    markCurrent(pull->AsOf, out);
 }
 
-void NewsReader::takeSeed(const ItemPage &page,
-                          std::vector<token::Event> &out) {
-  if (Complete || page.At <= Copy.position())
+void RegistryWatcher::applySeed(const ItemPage &page,
+                                std::vector<token::Event> &out) {
+  if (Complete || page.At <= Cache.position())
     return;
-  tell(Copy.replaceAll(page, Faults), out);
+  appendEvents(Cache.replaceAll(page, Faults), out);
   if (!std::exchange(Seeded, true))
     out.emplace_back(token::BackendsComplete{});
 }
 
-NewsPush NewsReader::push(InstanceId self, Position since, Time now) const {
+NewsPush RegistryWatcher::makePush(InstanceId self, Position since,
+                                   Time now) const {
   NewsPush out{.Sender = self,
                .Age = std::min(now - CurrentAt, OldestAge),
                .Base = since,
-               .Digest = Copy.digest()};
-  if (auto page = Copy.since(since))
+               .Digest = Cache.digest()};
+  if (auto page = Cache.changesSince(since))
     out.Page = std::move(*page);
   else
     out.Complete = false;
-  out.Page.At = Copy.position();
+  out.Page.At = Cache.position();
   return out;
 }
 
--- a/lib/edge/NewsSpread.cpp
+++ b/lib/edge/NewsSpread.cpp
@@ -77,7 +77,7 @@
     size_t heads = zone == own ? FanOut + 1 : HeadsOfOtherZone;
     for (size_t n = 0; n < std::min(heads, places.size()); ++n)
       if (places[n].Peer.Id != Options.Self)
-        Heads.push_back(places[n].Peer.Peers);
+        Heads.push_back(places[n].Peer.PeerAddress);
     if (zone == own) {
       auto self = std::find_if(places.begin(), places.end(), [&](auto &it) {
         return it.Peer.Id == Options.Self;
@@ -98,7 +98,7 @@
                         std::vector<Address> &out) const {
   for (size_t n = first; n < std::min(first + FanOut, places.size()); ++n)
     if (places[n].Peer.Id != Options.Self)
-      out.push_back(places[n].Peer.Peers);
+      out.push_back(places[n].Peer.PeerAddress);
 }
 
 /// Where this instance stands among others of the same place, from 0 to 1.
@@ -120,7 +120,7 @@
       paces += DepthStep * (static_cast<double>(depthOf(rank) - 1) + share());
   }
   Patience = std::min(
-      std::chrono::duration_cast<Duration>(Options.Pace * paces),
+      std::chrono::duration_cast<Duration>(Options.PollInterval * paces),
       std::chrono::duration_cast<Duration>(Options.ApplyWithin * MostOfApply));
   RetryMost = rank == 0 ? Options.RetryMost
                         : std::chrono::duration_cast<Duration>(
--- a/lib/edge/PeerPages.cpp
+++ b/lib/edge/PeerPages.cpp
@@ -56,7 +56,7 @@
           : std::nullopt;
   if (!since && target != Whole)
     return {.Status = HttpNotFound};
-  if (since && !Copy.reachesBackTo(*since))
+  if (since && !Copy.hasHistorySince(*since))
     return {.Status = HttpGone};
   // All that read after one push ask for the same.
   bool same = Last.Target == target && Last.At == Copy.position() &&
@@ -65,7 +65,8 @@
     Last = {.Target = target,
             .At = Copy.position(),
             .Digest = Copy.digest(),
-            .Bytes = encodePage(since ? *Copy.since(*since) : Copy.whole())};
+            .Bytes = encodePage(since ? *Copy.changesSince(*since)
+                                      : Copy.snapshot())};
   return {.Status = HttpOk, .Body = Last.Bytes, .ContentType = PageType};
 }
 
--- a/lib/edge/PeerPages.h
+++ b/lib/edge/PeerPages.h
@@ -6,7 +6,7 @@
 
 #include "Http.h"
 
-#include "chicorybank/edge/Mirror.h"
+#include "chicorybank/edge/RegistryCache.h"
 
 #include <functional>
 #include <memory>
@@ -34,7 +34,7 @@
   using Handler = std::function<void(PageRead)>;
 
   /// Connections come from the IP `from`. `copy` is what others read.
-  PeerPages(Loop &loop, uint32_t from, const Mirror &copy)
+  PeerPages(Loop &loop, uint32_t from, const RegistryCache &copy)
       : Events(loop), From(from), Copy(copy) {}
 
   /// Answers another instance: "/news" is everything, "/news?after=2.415" the
@@ -60,7 +60,7 @@
 
   Loop &Events;
   uint32_t From;
-  const Mirror &Copy;
+  const RegistryCache &Copy;
   std::unique_ptr<HttpClient> Client;
   InstanceId PeerId;
   Served Last;
--- a/lib/edge/RecordDuty.cpp
+++ b/lib/edge/RecordDuty.cpp
@@ -14,11 +14,12 @@
 } // namespace
 
 RecordDuty::RecordDuty(Loop &loop, Log &log, const EdgeSettings &settings,
-                       const RegistryDialect &dialect, const Mirror &copy)
+                       const RegistryDialect &dialect,
+                       const RegistryCache &copy)
     : Lines(log), Settings(settings), Record(dialect,
                                              {.Id = InstanceId{settings.Ip},
                                               .Zone = settings.Zone,
-                                              .Peers = settings.Peers},
+                                              .PeerAddress = settings.Peers},
                                              {}),
       Recorder(dialect), Copy(copy), Directory(dialect), Dialect(dialect),
       Calls(loop, settings.Ip, settings.Registry, dialect) {}
@@ -56,7 +57,7 @@
 void RecordDuty::announce(RegistryCall call) {
   Calls.call(std::move(call), CallTimeout,
              [this](const HttpClient::Result &it) {
-               NewsAnswer answer = newsAnswer(it, Dialect);
+               RegistryAnswer answer = newsAnswer(it, Dialect);
                Record.answered(answer, steadyNow());
                noteGeneration(answer);
              });
@@ -65,7 +66,7 @@
 void RecordDuty::recordRoutes(RegistryCall call) {
   Calls.call(
       std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
-        NewsAnswer answer = newsAnswer(it, Dialect);
+        RegistryAnswer answer = newsAnswer(it, Dialect);
         Recorder.answered(answer, steadyNow());
         noteGeneration(answer);
         Lines.write(LogLine("routes_recorded").with("status", answer.Status));
@@ -75,7 +76,7 @@
 void RecordDuty::writeDirectory(RegistryCall call) {
   Calls.call(
       std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
-        NewsAnswer answer = newsAnswer(it, Dialect);
+        RegistryAnswer answer = newsAnswer(it, Dialect);
         Directory.answered(answer, steadyNow());
         noteGeneration(answer);
         Lines.write(LogLine("directory_written").with("status", answer.Status));
@@ -89,7 +90,7 @@
   Recorder.learn(stored, Settings.Core.MaxFlowAge, now);
 }
 
-void RecordDuty::noteGeneration(const NewsAnswer &answer) {
+void RecordDuty::noteGeneration(const RegistryAnswer &answer) {
   if (answer.Generation <= Known)
     return;
   Told = answer.Generation;
--- a/lib/edge/RecordDuty.h
+++ b/lib/edge/RecordDuty.h
@@ -21,7 +21,7 @@
 class RecordDuty {
 public:
   RecordDuty(Loop &loop, Log &log, const EdgeSettings &settings,
-             const RegistryDialect &dialect, const Mirror &copy);
+             const RegistryDialect &dialect, const RegistryCache &copy);
 
   /// Ends a call whose time is over, and starts one that is due. Serving comes
   /// first: call it only once packets can be carried. `current`: everything was
@@ -37,7 +37,7 @@
   /// The copy of the registry, as of some time, has this record of this
   /// instance, or none.
   void seen(const PeerRecord *own, Time asOf) { Record.seen(own, asOf); }
-  void learnDirectory(const DirectoryNote &stored, Time now) {
+  void learnDirectory(const DirectorySummary &stored, Time now) {
     Directory.learn(Copy, stored, now);
   }
   /// The record is to say that this instance leaves; nothing follows that.
@@ -55,13 +55,13 @@
   void recordRoutes(RegistryCall call);
   void writeDirectory(RegistryCall call);
   void sayThatItLeaves();
-  void noteGeneration(const NewsAnswer &answer);
+  void noteGeneration(const RegistryAnswer &answer);
 
   Log &Lines;
   const EdgeSettings &Settings;
   Announcer Record;
   RouteRecorder Recorder;
-  const Mirror &Copy;
+  const RegistryCache &Copy;
   DirectoryWriter Directory;
   const RegistryDialect &Dialect;
   std::optional<Generation> Known;
--- a/lib/edge/Mirror.cpp
+++ b/lib/edge/RegistryCache.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/Mirror.h"
+#include "chicorybank/edge/RegistryCache.h"
 
 #include "chicorybank/base/Hash.h"
 
@@ -18,7 +18,7 @@
 constexpr size_t MostRefused = 1000;
 
 /// The second registration says nothing that the first one did not.
-bool sameMeaning(const News &a, const News &b) {
+bool sameMeaning(const ItemContent &a, const ItemContent &b) {
   const auto *x = std::get_if<token::Registration>(&a);
   const auto *y = std::get_if<token::Registration>(&b);
   if (!x || !y)
@@ -39,7 +39,7 @@
 }
 
 /// What an item means, as a number. Equal meanings have equal ones.
-struct MeaningHash {
+struct ContentHash {
   uint64_t operator()(const std::monostate & /*news*/) const { return 0; }
   uint64_t operator()(const token::RouteSet &news) const {
     return mixHash(1, news.Version.Value);
@@ -54,7 +54,7 @@
   }
   uint64_t operator()(const RegistrationEnded & /*news*/) const { return 0; }
   uint64_t operator()(const PeerRecord &news) const {
-    return mixHash(news.Id.Value, news.Peers.packed() * 2 + news.Leaving);
+    return mixHash(news.Id.Value, news.PeerAddress.packed() * 2 + news.Leaving);
   }
   uint64_t operator()(const RouteRecord &news) const {
     uint64_t out = news.Part;
@@ -62,7 +62,7 @@
       out = mixHash(mixHash(out, it.Where.packed()), it.Service.Value);
     return out;
   }
-  uint64_t operator()(const DirectoryNote &news) const {
+  uint64_t operator()(const DirectorySummary &news) const {
     uint64_t out = 3;
     for (const auto &[zone, digest] : news.Digests)
       out = mixHash(mixHash(out, hashBytes(zone)), digest);
@@ -73,33 +73,33 @@
   }
 };
 
-uint64_t digestOf(const Item &item, const News &news) {
+uint64_t digestOf(const Item &item, const ItemContent &news) {
   uint64_t identity =
       mixHash(hashBytes(item.Key), static_cast<uint64_t>(item.Created));
-  return mixHash(identity, std::visit(MeaningHash(), news));
+  return mixHash(identity, std::visit(ContentHash(), news));
 }
 
-bool isRegistration(const News &news) {
+bool isRegistration(const ItemContent &news) {
   return std::holds_alternative<token::Registration>(news) ||
          std::holds_alternative<RegistrationUnreadable>(news);
 }
 
 /// What only the system itself writes, and writes by what the registry holds,
 /// has to be known as missing at once.
-bool mayBeHeld(const News &news) {
+bool mayBeHeld(const ItemContent &news) {
   return !std::holds_alternative<RouteRecord>(news) &&
-         !std::holds_alternative<DirectoryNote>(news);
+         !std::holds_alternative<DirectorySummary>(news);
 }
 
 /// The configuration is replaced, never removed; it is held for as long as it
 /// takes.
-bool holdEnds(const News &news, HeldItems kind) {
+bool holdEnds(const ItemContent &news, RetainedItems kind) {
   switch (kind) {
-  case HeldItems::Registrations:
+  case RetainedItems::Registrations:
     return isRegistration(news);
-  case HeldItems::Instances:
+  case RetainedItems::Instances:
     return std::holds_alternative<PeerRecord>(news);
-  case HeldItems::Orders:
+  case RetainedItems::OperatorSettings:
     break;
   }
   return std::holds_alternative<ZoneDrain>(news);
@@ -107,7 +107,7 @@
 
 /// A restored registry may show a server as it was before it began to drain.
 /// It drains until it has written again.
-void keepDrain(const News &known, News &news) {
+void keepDrain(const ItemContent &known, ItemContent &news) {
   const auto *before = std::get_if<token::Registration>(&known);
   auto *now = std::get_if<token::Registration>(&news);
   if (before && now && before->Draining)
@@ -116,7 +116,7 @@
 
 } // namespace
 
-void Mirror::note(const Item &item, Position learnedAt) {
+void RegistryCache::note(const Item &item, Position learnedAt) {
   History.push_back({.Key = item.Key,
                      .LearnedAt = learnedAt,
                      .EndedAt = item.Deleted ? item.At : Position{}});
@@ -126,10 +126,10 @@
   History.pop_front();
 }
 
-void Mirror::include(const Entry &entry) {
+void RegistryCache::include(const Entry &entry) {
   Digest ^= entry.Digest;
-  InstanceCount += std::holds_alternative<PeerRecord>(entry.Meaning) ? 1 : 0;
-  const auto *server = std::get_if<token::Registration>(&entry.Meaning);
+  InstanceCount += std::holds_alternative<PeerRecord>(entry.Content) ? 1 : 0;
+  const auto *server = std::get_if<token::Registration>(&entry.Content);
   if (!server)
     return;
   ZoneDigest &zone = ByZone[server->Zone];
@@ -137,14 +137,14 @@
   ++zone.Count;
 }
 
-void Mirror::exclude(const Entry &entry) {
+void RegistryCache::exclude(const Entry &entry) {
   if (entry.Held) {
     --HeldCount;
     return;
   }
   Digest ^= entry.Digest;
-  InstanceCount -= std::holds_alternative<PeerRecord>(entry.Meaning) ? 1 : 0;
-  const auto *server = std::get_if<token::Registration>(&entry.Meaning);
+  InstanceCount -= std::holds_alternative<PeerRecord>(entry.Content) ? 1 : 0;
+  const auto *server = std::get_if<token::Registration>(&entry.Content);
   if (!server)
     return;
   auto zone = ByZone.find(server->Zone);
@@ -153,7 +153,7 @@
     ByZone.erase(zone);
 }
 
-void Mirror::hold(Entry &entry) {
+void RegistryCache::hold(Entry &entry) {
   exclude(entry);
   entry.Held = true;
   ++HeldCount;
@@ -161,7 +161,7 @@
 
 /// A page of a list may be older than what a watch or a push told meanwhile:
 /// an item in it may have ended since.
-bool Mirror::endedAfter(const Item &item) const {
+bool RegistryCache::endedAfter(const Item &item) const {
   return std::any_of(History.begin(), History.end(), [&](const Past &it) {
     return it.EndedAt > item.At && it.Key == item.Key;
   });
@@ -171,18 +171,18 @@
 /// revision than the page's: the item had ended by then. What a list that may
 /// be old brings back would be a drain of a zone that is over, or a server that
 /// has gone.
-bool Mirror::mayHaveEnded(const Item &item, const ItemPage &page) const {
+bool RegistryCache::mayHaveEnded(const Item &item, const ItemPage &page) const {
   return page.At < WholeFrom || endedAfter(item);
 }
 
-size_t Mirror::historyLimit() const {
+size_t RegistryCache::historyLimit() const {
   return std::max(HistoryItems, Items.size());
 }
 
-void Mirror::take(const Item &item, const ItemPage &page, Findings &findings,
-                  std::vector<Change> &out) {
+void RegistryCache::take(const Item &item, const ItemPage &page,
+                         Findings &findings, std::vector<Change> &out) {
   auto it = Items.find(item.Key);
-  if (it != Items.end() && !item.supersedes(it->second.What))
+  if (it != Items.end() && !item.supersedes(it->second.Source))
     return;
   if (it == Items.end() && item.At <= At &&
       (item.Deleted || mayHaveEnded(item, page)))
@@ -190,8 +190,8 @@
   if (alreadyRefused(item))
     return;
   size_t faults = findings.items().size();
-  News news = Dialect.translate(item, findings);
-  if (it == Items.end() && item.At <= OrdersAsOf &&
+  ItemContent news = Dialect.translate(item, findings);
+  if (it == Items.end() && item.At <= OperatorSettingsAsOf &&
       std::holds_alternative<ZoneDrain>(news))
     return;
   if (item.Deleted) {
@@ -200,7 +200,7 @@
       Items.erase(it);
     }
     note(item, page.At);
-    out.push_back({.What = item, .Meaning = std::move(news)});
+    out.push_back({.Source = item, .Content = std::move(news)});
     return;
   }
   if (std::holds_alternative<std::monostate>(news)) {
@@ -213,58 +213,60 @@
   if (std::holds_alternative<token::RouteSet>(news))
     RoutesKey = item.Key;
   uint64_t digest = digestOf(item, news);
-  if (it->second.What.At.Generation < item.At.Generation)
-    keepDrain(it->second.Meaning, news);
+  if (it->second.Source.At.Generation < item.At.Generation)
+    keepDrain(it->second.Content, news);
   // Whoever saw the lapse in between has to hear of the new registration.
-  bool same = sameMeaning(it->second.Meaning, news) &&
-              it->second.What.Created == item.Created;
+  bool same = sameMeaning(it->second.Content, news) &&
+              it->second.Source.Created == item.Created;
   exclude(it->second);
-  it->second = {.What = item, .Meaning = news, .Digest = digest};
+  it->second = {.Source = item, .Content = news, .Digest = digest};
   include(it->second);
   if (same)
     return;
   note(item, page.At);
-  out.push_back({.What = item, .Meaning = std::move(news)});
+  out.push_back({.Source = item, .Content = std::move(news)});
 }
 
 /// An item that says nothing is not kept, and lists bring it again and again;
 /// its faults are told once for each time that it is written.
-bool Mirror::alreadyRefused(const Item &item) const {
+bool RegistryCache::alreadyRefused(const Item &item) const {
   auto it = Refused.find(item.Key);
   return it != Refused.end() && it->second == item.At;
 }
 
-void Mirror::noteRefused(const Item &item) {
+void RegistryCache::noteRefused(const Item &item) {
   if (Refused.size() >= MostRefused)
     Refused.clear();
   Refused[item.Key] = item.At;
 }
 
-std::vector<Change> Mirror::apply(const ItemPage &page, Findings &findings) {
+std::vector<Change> RegistryCache::apply(const ItemPage &page,
+                                         Findings &findings) {
   // Changes of another generation lead nowhere from here.
   if (page.At.Generation != At.Generation && At != Position{})
     return {};
-  std::vector<Change> out = preview(page, findings);
+  std::vector<Change> out = applyPartial(page, findings);
   At = std::max(At, page.At);
   return out;
 }
 
-std::vector<Change> Mirror::preview(const ItemPage &page, Findings &findings) {
+std::vector<Change> RegistryCache::applyPartial(const ItemPage &page,
+                                                Findings &findings) {
   std::vector<Change> out;
   for (const Item &it : page.Items)
     take(it, page, findings, out);
   return out;
 }
 
-std::vector<Change> Mirror::takeOrders(const ItemPage &page,
-                                       Findings &findings) {
-  std::vector<Change> out = preview(page, findings);
-  OrdersAsOf = page.At;
+std::vector<Change> RegistryCache::applyOperatorSettings(const ItemPage &page,
+                                                         Findings &findings) {
+  std::vector<Change> out = applyPartial(page, findings);
+  OperatorSettingsAsOf = page.At;
   return out;
 }
 
-std::vector<Change> Mirror::replaceAll(const ItemPage &page,
-                                       Findings &findings) {
+std::vector<Change> RegistryCache::replaceAll(const ItemPage &page,
+                                              Findings &findings) {
   if (page.At.Generation < At.Generation)
     return {};
   bool first = At == Position{} || At.Generation < page.At.Generation;
@@ -278,12 +280,12 @@
   }
   std::vector<Item> ended;
   for (auto &[key, entry] : Items) {
-    bool later = entry.What.At > page.At && !entry.What.Yields;
+    bool later = entry.Source.At > page.At && !entry.Source.MayBeStale;
     if (present.contains(key) || later || entry.Held)
       continue;
-    bool otherHistory =
-        entry.What.At.Generation < page.At.Generation || entry.What.Yields;
-    if (otherHistory && mayBeHeld(entry.Meaning))
+    bool otherHistory = entry.Source.At.Generation < page.At.Generation ||
+                        entry.Source.MayBeStale;
+    if (otherHistory && mayBeHeld(entry.Content))
       hold(entry);
     else
       ended.push_back({.Key = key, .At = page.At, .Deleted = true});
@@ -298,10 +300,11 @@
   return out;
 }
 
-std::vector<Change> Mirror::endHeld(HeldItems kind, Findings &findings) {
+std::vector<Change> RegistryCache::expireRetained(RetainedItems kind,
+                                                  Findings &findings) {
   std::vector<Item> ended;
   for (const auto &[key, entry] : Items)
-    if (entry.Held && holdEnds(entry.Meaning, kind))
+    if (entry.Held && holdEnds(entry.Content, kind))
       ended.push_back({.Key = key, .At = At, .Deleted = true});
   std::vector<Change> out;
   for (const Item &it : ended)
@@ -309,44 +312,44 @@
   return out;
 }
 
-void Mirror::forgetPositions() {
+void RegistryCache::forgetPositions() {
   for (auto &[key, entry] : Items)
-    entry.What.At = {};
+    entry.Source.At = {};
   At = {};
-  OrdersAsOf = {};
+  OperatorSettingsAsOf = {};
   Refused.clear();
 }
 
 std::vector<token::Registration>
-Mirror::registrations(std::optional<std::string_view> zone) const {
+RegistryCache::registrations(std::optional<std::string_view> zone) const {
   std::vector<token::Registration> out;
   for (const auto &[key, entry] : Items)
-    if (const auto *it = std::get_if<token::Registration>(&entry.Meaning);
+    if (const auto *it = std::get_if<token::Registration>(&entry.Content);
         it && !entry.Held && (!zone || it->Zone == *zone))
       out.push_back(*it);
   return out;
 }
 
-ZoneDigests Mirror::registrationDigests() const {
+ZoneDigests RegistryCache::registrationDigests() const {
   ZoneDigests out;
   for (const auto &[zone, it] : ByZone)
     out[zone] = it.Digest;
   return out;
 }
 
-size_t Mirror::registrationCount(const std::string &zone) const {
+size_t RegistryCache::registrationCount(const std::string &zone) const {
   auto it = ByZone.find(zone);
   return it == ByZone.end() ? 0 : it->second.Count;
 }
 
-size_t Mirror::registrationCount() const {
+size_t RegistryCache::registrationCount() const {
   size_t out = 0;
   for (const auto &[zone, it] : ByZone)
     out += it.Count;
   return out;
 }
 
-bool Mirror::adopt(Position position, uint64_t digest) {
+bool RegistryCache::advanceIfEqual(Position position, uint64_t digest) {
   bool comparable = At != Position{} && position.Generation == At.Generation;
   if (!comparable || digest != Digest || position < At)
     return false;
@@ -354,22 +357,22 @@
   return true;
 }
 
-const token::RouteSet *Mirror::routes() const {
+const token::RouteSet *RegistryCache::routes() const {
   auto it = Items.find(RoutesKey);
   return it == Items.end() ? nullptr
-                           : std::get_if<token::RouteSet>(&it->second.Meaning);
+                           : std::get_if<token::RouteSet>(&it->second.Content);
 }
 
 /// Receivers take the items of a page for as new as the page's generation.
-Item Mirror::passedOn(Item item) const {
+Item RegistryCache::passedOn(Item item) const {
   if (item.At.Generation != At.Generation)
     item.At = {.Generation = At.Generation};
-  item.Yields = false;
+  item.MayBeStale = false;
   return item;
 }
 
-std::optional<ItemPage> Mirror::since(Position position) const {
-  if (!reachesBackTo(position))
+std::optional<ItemPage> RegistryCache::changesSince(Position position) const {
+  if (!hasHistorySince(position))
     return std::nullopt;
   ItemPage out{.At = At};
   std::unordered_set<std::string_view> told;
@@ -379,7 +382,7 @@
       continue;
     auto item = Items.find(it->Key);
     if (item != Items.end())
-      out.Items.push_back(passedOn(item->second.What));
+      out.Items.push_back(passedOn(item->second.Source));
     else
       out.Items.push_back({.Key = it->Key, .At = it->EndedAt, .Deleted = true});
   }
@@ -387,11 +390,11 @@
   return out;
 }
 
-ItemPage Mirror::whole() const {
+ItemPage RegistryCache::snapshot() const {
   ItemPage out{.At = At};
   for (const auto &[key, entry] : Items)
     if (!entry.Held)
-      out.Items.push_back(passedOn(entry.What));
+      out.Items.push_back(passedOn(entry.Source));
   return out;
 }
 
--- a/lib/edge/RegistryClient.cpp
+++ b/lib/edge/RegistryClient.cpp
@@ -12,17 +12,17 @@
     return "lease";
   case CallKind::Renewal:
     return "renewal";
-  case CallKind::Announce:
+  case CallKind::WriteInstanceRecord:
     return "announce";
   case CallKind::RouteRecord:
     return "route_record";
-  case CallKind::Orders:
+  case CallKind::OperatorSettings:
     return "orders";
   case CallKind::Directory:
     return "directory";
   case CallKind::PastRoutes:
     return "past_routes";
-  case CallKind::OwnRecord:
+  case CallKind::ReadInstanceRecord:
     return "own_record";
   case CallKind::WriteDirectory:
     return "write_directory";
--- a/lib/edge/RegistryClient.h
+++ b/lib/edge/RegistryClient.h
@@ -5,7 +5,7 @@
 
 #include "Http.h"
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include <array>
 
@@ -47,13 +47,13 @@
 };
 
 /// An answer as the state machines take it.
-inline NewsAnswer newsAnswer(const HttpClient::Result &result,
-                             const RegistryDialect &dialect) {
+inline RegistryAnswer newsAnswer(const HttpClient::Result &result,
+                                 const RegistryDialect &dialect) {
   if (!result)
     return {};
   return {.Status = result->Status,
           .Body = result->Body,
-          .Generation = dialect.readGeneration(result->KeptHeader)};
+          .Generation = dialect.parseGeneration(result->KeptHeader)};
 }
 
 } // namespace chicory::edge
--- a/lib/edge/NewsReader.cpp
+++ b/lib/edge/RegistryWatcher.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include "Http.h"
 
@@ -20,32 +20,33 @@
 
 } // namespace
 
-NewsReader::NewsReader(const RegistryDialect &dialect, NewsTimes times,
-                       uint64_t seed, std::string zone)
-    : Times(times), Dialect(dialect), Random(seed), Copy(dialect),
-      Start(dialect, std::move(zone)), Patience(times.Pace),
-      RetryMost(times.RetryMost), Retry(times.RetryLeast) {}
+RegistryWatcher::RegistryWatcher(const RegistryDialect &dialect,
+                                 WatcherTimes times, uint64_t seed,
+                                 std::string zone)
+    : Times(times), Dialect(dialect), Random(seed), Cache(dialect),
+      Start(dialect, std::move(zone)), Patience(times.PollInterval),
+      RetryMax(times.RetryMax), Retry(times.RetryMin) {}
 
-void NewsReader::setPatience(Duration patience, Duration retryMost) {
+void RegistryWatcher::setPatience(Duration patience, Duration retryMax) {
   Patience = patience;
-  RetryMost = std::max(retryMost, Times.RetryLeast);
+  RetryMax = std::max(retryMax, Times.RetryMin);
 }
 
-Time NewsReader::nextAt() const {
+Time RegistryWatcher::nextAt() const {
   if (Waiting)
     return Time::max();
   if (State == Phase::Starting || AskNow || pageIsNext())
     return DueAt;
   if (watches())
-    return std::max(DueAt, WatchedAt + Times.Pace);
+    return std::max(DueAt, WatchedAt + Times.PollInterval);
   // After a list that may be old, whoever watches is about to tell.
   return std::max({DueAt, CurrentAt + Patience, LastList + Patience});
 }
 
-std::optional<NewsCall> NewsReader::next(Time now) {
+std::optional<TimedCall> RegistryWatcher::next(Time now) {
   if (now < nextAt())
     return std::nullopt;
-  if (State == Phase::Watching && Unproven)
+  if (State == Phase::Watching && Unconfirmed)
     startList(now);
   Waiting = true;
   AskedForPage = pageIsNext();
@@ -54,14 +55,14 @@
   ++Stats.Calls;
   RegistryCall call = nextCall(now);
   if (call.Kind == CallKind::Watch)
-    return NewsCall{.Call = std::move(call),
-                    .Timeout = Times.Pace + Times.CallTimeout};
-  return NewsCall{.Call = std::move(call),
-                  .Timeout = Complete ? Times.CallTimeout
-                                      : Times.FirstTimeout + Retry};
+    return TimedCall{.Call = std::move(call),
+                     .Timeout = Times.PollInterval + Times.CallTimeout};
+  return TimedCall{.Call = std::move(call),
+                   .Timeout = Complete ? Times.CallTimeout
+                                       : Times.StartupCallTimeout + Retry};
 }
 
-RegistryCall NewsReader::nextCall(Time now) {
+RegistryCall RegistryWatcher::nextCall(Time now) {
   if (State == Phase::Starting)
     return Start.call();
   // A whole list shows as much as a watch does.
@@ -69,18 +70,18 @@
   if (!AskedForPage || shows)
     WatchedAt = now;
   if (!AskedForPage)
-    return Dialect.watch(Copy.position().Revision, Times.Pace);
+    return Dialect.watch(Cache.position().Revision, Times.PollInterval);
   if (After.empty()) {
     ListStartedAt = now;
-    CopyAtListStart = Copy.position();
+    CopyAtListStart = Cache.position();
     Pages = {};
   }
   ++Stats.Lists;
   return Dialect.list(After, ListFreshness);
 }
 
-bool NewsReader::answered(const NewsAnswer &answer, Time now,
-                          std::vector<token::Event> &out) {
+bool RegistryWatcher::answered(const RegistryAnswer &answer, Time now,
+                               std::vector<token::Event> &out) {
   Waiting = false;
   noteGeneration(answer);
   PageTurn = !AskedForPage;
@@ -97,7 +98,7 @@
     failed(answer.Status, now);
     return false;
   }
-  tl::expected<ItemPage, std::string> page = Dialect.readPage(answer.Body);
+  tl::expected<ItemPage, std::string> page = Dialect.parsePage(answer.Body);
   if (!page) {
     ++Stats.BadAnswers;
     Faults.add({.File = "registry answer"}, page.error());
@@ -106,7 +107,7 @@
   }
   page->setGeneration(generationOf(answer));
   notePosition(*page);
-  Retry = Times.RetryLeast;
+  Retry = Times.RetryMin;
   DueAt = now;
   if (AskedForPage)
     return takeList(std::move(*page), now, out);
@@ -116,120 +117,123 @@
 
 /// An answer that was under way during a restore, or was read from an old copy,
 /// tells an earlier generation. That counts only in a list that shows more.
-void NewsReader::noteGeneration(const NewsAnswer &answer) {
+void RegistryWatcher::noteGeneration(const RegistryAnswer &answer) {
   if (answer.Status == 0)
     return;
-  HeaderTold = HeaderTold || answer.Generation;
+  HasGenerationHeader = HasGenerationHeader || answer.Generation;
   Generation generation = answer.Generation.value_or(Generation{});
-  Told = std::max(Told.value_or(generation), generation);
+  LatestGeneration =
+      std::max(LatestGeneration.value_or(generation), generation);
 }
 
-Generation NewsReader::generationOf(const NewsAnswer &answer) const {
-  return answer.Generation.value_or(Told.value_or(Generation{}));
+Generation RegistryWatcher::generationOf(const RegistryAnswer &answer) const {
+  return answer.Generation.value_or(LatestGeneration.value_or(Generation{}));
 }
 
-void NewsReader::notePosition(const ItemPage &page) {
-  ToldPosition = page.At;
-  if (page.At < Copy.position())
+void RegistryWatcher::notePosition(const ItemPage &page) {
+  RegistryPosition = page.At;
+  if (page.At < Cache.position())
     ++Stats.RevisionsBehind;
 }
 
-void NewsReader::heard(std::optional<Generation> generation, Time now) {
-  if (!generation || generation <= Told)
+void RegistryWatcher::observeGeneration(std::optional<Generation> generation,
+                                        Time now) {
+  if (!generation || generation <= LatestGeneration)
     return;
-  Told = generation;
+  LatestGeneration = generation;
   // Whoever watches is told by the next answer and passes it on; a list by
   // everyone at once would be a storm.
   if (State == Phase::Watching && !Waiting)
     startList(now + Patience);
 }
 
-bool NewsReader::contradicts(const ItemPage &list) const {
+bool RegistryWatcher::contradicts(const ItemPage &list) const {
   return ListFreshness == Freshness::Current && list.At < CopyAtListStart;
 }
 
 /// Without a header the first of a new history is a generation of its own, so
 /// that neighbours can tell it from the old one.
-void NewsReader::rebase(ItemPage &list) {
+void RegistryWatcher::rebase(ItemPage &list) {
   ++Stats.Generations;
-  if (HeaderTold) {
-    Told = list.At.Generation;
-    return Copy.forgetPositions();
+  if (HasGenerationHeader) {
+    LatestGeneration = list.At.Generation;
+    return Cache.forgetPositions();
   }
-  Told = Generation{Copy.position().Generation.Value + 1};
-  list.setGeneration(*Told);
+  LatestGeneration = Generation{Cache.position().Generation.Value + 1};
+  list.setGeneration(*LatestGeneration);
 }
 
-void NewsReader::takeWhole(const ItemPage &page, Time now,
-                           std::vector<token::Event> &out) {
-  if (Copy.position() != Position{} &&
-      Copy.position().Generation < page.At.Generation)
+void RegistryWatcher::replaceCache(const ItemPage &page, Time now,
+                                   std::vector<token::Event> &out) {
+  if (Cache.position() != Position{} &&
+      Cache.position().Generation < page.At.Generation)
     ++Stats.Generations;
-  size_t heldBefore = Copy.heldCount();
-  tell(Copy.replaceAll(page, Faults), out);
-  if (Copy.heldCount() > heldBefore) {
+  size_t heldBefore = Cache.retainedCount();
+  appendEvents(Cache.replaceAll(page, Faults), out);
+  if (Cache.retainedCount() > heldBefore) {
     HeldSince = now;
-    OrdersHeldUntil = now + Times.OrdersHeldFor;
+    RetainOperatorSettingsUntil = now + Times.RetainOperatorSettingsFor;
   }
-  OrdersTold = false;
+  OperatorsHaveWritten = false;
   // Without a header the neighbours' word for it is all there is.
-  if (!HeaderTold && Told)
-    Told = Copy.position().Generation;
+  if (!HasGenerationHeader && LatestGeneration)
+    LatestGeneration = Cache.position().Generation;
 }
 
-void NewsReader::endHeld(Time at, std::vector<token::Event> &out) {
-  if (std::exchange(OrdersTold, false))
-    OrdersHeldUntil = std::min(OrdersHeldUntil, at + Times.OrdersFollowWithin);
-  const std::pair<HeldItems, Time> ends[] = {
-      {HeldItems::Registrations, HeldSince + Times.RegistrationsHeldFor},
-      {HeldItems::Instances, HeldSince + Times.InstancesHeldFor},
-      {HeldItems::Orders, OrdersHeldUntil}};
+void RegistryWatcher::expireRetained(Time at, std::vector<token::Event> &out) {
+  if (std::exchange(OperatorsHaveWritten, false))
+    RetainOperatorSettingsUntil = std::min(
+        RetainOperatorSettingsUntil, at + Times.OperatorSettingsFollowWithin);
+  const std::pair<RetainedItems, Time> ends[] = {
+      {RetainedItems::Registrations, HeldSince + Times.RetainRegistrationsFor},
+      {RetainedItems::Instances, HeldSince + Times.RetainInstancesFor},
+      {RetainedItems::OperatorSettings, RetainOperatorSettingsUntil}};
   for (const auto &[kind, until] : ends) {
     if (at < until)
       continue;
-    std::vector<Change> ended = Copy.endHeld(kind, Faults);
-    Stats.HeldEnded += ended.size();
-    tell(std::move(ended), out);
+    std::vector<Change> ended = Cache.expireRetained(kind, Faults);
+    Stats.RetainedExpired += ended.size();
+    appendEvents(std::move(ended), out);
   }
 }
 
-void NewsReader::takeStart(const NewsAnswer &answer, Time now,
-                           std::vector<token::Event> &out) {
+void RegistryWatcher::takeStart(const RegistryAnswer &answer, Time now,
+                                std::vector<token::Event> &out) {
   bool absent = answer.Status == HttpNotFound;
   if (answer.Status != HttpOk && !absent)
     return failed(answer.Status, now);
-  Retry = Times.RetryLeast;
+  Retry = Times.RetryMin;
   DueAt = now;
   std::vector<Change> changes;
-  auto taken = Start.take(absent ? std::string() : answer.Body,
-                          generationOf(answer), Copy, Faults, changes);
+  auto taken = Start.handleAnswer(absent ? std::string() : answer.Body,
+                                  generationOf(answer), Cache, Faults, changes);
   if (!taken) {
     // The list says it all once more.
     ++Stats.BadAnswers;
     Faults.add({.File = "registry answer"}, taken.error());
   }
   // What a neighbour told is as good as the directory.
-  bool directory = !changes.empty() && changes.front().What.Key.empty();
+  bool directory = !changes.empty() && changes.front().Source.Key.empty();
   if (!Seeded || !directory)
-    tell(std::move(changes), out);
+    appendEvents(std::move(changes), out);
   std::uniform_real_distribution<double> share(0, 1);
-  DueAt +=
-      std::chrono::duration_cast<Duration>(Start.nextSpread() * share(Random));
+  DueAt += std::chrono::duration_cast<Duration>(Start.callDelayMax() *
+                                                share(Random));
   if (Start.done())
     beginFirstList(now);
 }
 
-void NewsReader::beginFirstList(Time now) {
+void RegistryWatcher::beginFirstList(Time now) {
   State = Phase::Listing;
-  Duration spread = Start.listSpread();
+  Duration spread = Start.listDelayMax();
   if (spread == Duration::zero())
     return;
   // A few list at once, and the others hear of it from there: so what they
   // read has to prove something.
   std::uniform_real_distribution<double> uniform(0, 1);
-  if (uniform(Random) < Start.earlyShare())
+  if (uniform(Random) < Start.earlyListShare())
     return;
-  ListFreshness = Freshness::MayBeOld;
+  ListFreshness = Freshness::MayBeStale;
   // In case the others don't hear, one of a thousand begins, and twice as many
   // in each further tenth of the time.
   constexpr double Doublings = 10;
@@ -237,19 +241,19 @@
   DueAt = now + std::chrono::duration_cast<Duration>(spread * wait);
 }
 
-void NewsReader::failed(int status, Time now) {
+void RegistryWatcher::failed(int status, Time now) {
   ++Stats.Failures;
   if (status == HttpTooMany || status == HttpUnavailable)
     ++Stats.Refused;
   std::uniform_real_distribution<double> jitter(0.75, 1.25);
   DueAt = now + std::chrono::duration_cast<Duration>(Retry * jitter(Random));
-  Retry = std::min(Retry * 2, RetryMost);
+  Retry = std::min(Retry * 2, RetryMax);
   // A watch that was cut may have missed changes before its history went.
   if (State != Phase::Starting && !AskedForPage && status == 0)
     startList(DueAt);
 }
 
-void NewsReader::startList(Time at) {
+void RegistryWatcher::startList(Time at) {
   State = Phase::Listing;
   ListFreshness = Freshness::Current;
   Reviewing = false;
@@ -257,19 +261,19 @@
   DueAt = at;
 }
 
-void NewsReader::showCurrent(Time at, std::vector<token::Event> &out) {
+void RegistryWatcher::markCurrent(Time at, std::vector<token::Event> &out) {
   if (at <= CurrentAt)
     return;
   CurrentAt = at;
-  if (Copy.heldCount() != 0)
-    endHeld(at, out);
+  if (Cache.retainedCount() != 0)
+    expireRetained(at, out);
   out.emplace_back(token::NewsChecked{.CurrentAt = at});
 }
 
-bool NewsReader::takeList(ItemPage page, Time now,
-                          std::vector<token::Event> &out) {
-  if (ListFreshness == Freshness::MayBeOld)
-    page.yieldToAll();
+bool RegistryWatcher::takeList(ItemPage page, Time now,
+                               std::vector<token::Event> &out) {
+  if (ListFreshness == Freshness::MayBeStale)
+    page.markMayBeStale();
   // Pages are no snapshot: changes between them are seen by the watch, which
   // starts at the first page's revision.
   if (After.empty())
@@ -284,29 +288,29 @@
     // The first list of a large deployment takes seconds where all instances
     // ask for it at once. What is known already serves callers meanwhile.
     if (!Complete)
-      tell(Copy.preview(page, Faults), out);
+      appendEvents(Cache.applyPartial(page, Faults), out);
     return false;
   }
   if (contradicts(Pages))
     rebase(Pages);
-  takeWhole(Pages, now, out);
+  replaceCache(Pages, now, out);
   // An old read from before a restore is no list of this generation.
-  if (Pages.At.Generation < Copy.position().Generation) {
+  if (Pages.At.Generation < Cache.position().Generation) {
     startList(now);
     return false;
   }
   bool current = ListFreshness == Freshness::Current;
-  Unproven = !current;
+  Unconfirmed = !current;
   if (current)
-    showCurrent(ListStartedAt, out);
+    markCurrent(ListStartedAt, out);
   beginWatching(now, out);
   return current;
 }
 
 /// Everything is known, from a list or, the first time, from another instance.
-void NewsReader::beginWatching(Time now, std::vector<token::Event> &out) {
+void RegistryWatcher::beginWatching(Time now, std::vector<token::Event> &out) {
   if (!Complete)
-    tellUnlisted(out);
+    endUnlistedServers(out);
   if (!Complete && !Seeded)
     out.emplace_back(token::BackendsComplete{});
   Complete = true;
@@ -322,9 +326,9 @@
 /// the copy stands for them, so no change will tell of their end. Where the
 /// list is the older of the two, the next changes name them again, long before
 /// a missing server is taken for gone.
-void NewsReader::tellUnlisted(std::vector<token::Event> &out) {
-  std::set<token::BackendId> unlisted = Start.named();
-  for (const token::Registration &it : Copy.registrations())
+void RegistryWatcher::endUnlistedServers(std::vector<token::Event> &out) {
+  std::set<token::BackendId> unlisted = Start.directoryServers();
+  for (const token::Registration &it : Cache.registrations())
     unlisted.erase(it.Id);
   if (!unlisted.empty())
     out.emplace_back(
@@ -333,59 +337,61 @@
                                .Unreadable = {}});
 }
 
-void NewsReader::takeChanges(const ItemPage &page, Time now,
-                             std::vector<token::Event> &out) {
+void RegistryWatcher::takeChanges(const ItemPage &page, Time now,
+                                  std::vector<token::Event> &out) {
   bool silent = page.Items.empty();
-  bool skipped = silent && page.At > Copy.position();
-  bool restored = page.At.Generation != Copy.position().Generation;
-  tell(Copy.apply(page, Faults), out);
+  bool skipped = silent && page.At > Cache.position();
+  bool restored = page.At.Generation != Cache.position().Generation;
+  appendEvents(Cache.apply(page, Faults), out);
   if (skipped || restored) {
     startList(now);
     return;
   }
   // The registry answers without changes when the wait is over, not before;
   // with changes it may have answered at once.
-  showCurrent(silent ? std::min(SentAt + Times.Pace, now) : SentAt, out);
+  markCurrent(silent ? std::min(SentAt + Times.PollInterval, now) : SentAt,
+              out);
   bool review = watches() && (Reviewing || now - LastList >= Times.RelistEvery);
   if (!review || !Reviewing)
     After.clear();
   Reviewing = review;
 }
 
-void NewsReader::doubtAll(Time now) {
+void RegistryWatcher::revalidate(Time now) {
   if (!Waiting && State != Phase::Starting)
     startList(now);
 }
 
-void NewsReader::tell(std::vector<Change> changes,
-                      std::vector<token::Event> &out) {
+void RegistryWatcher::appendEvents(std::vector<Change> changes,
+                                   std::vector<token::Event> &out) {
   token::BackendsLearned servers;
   for (Change &it : changes) {
-    OrdersTold = OrdersTold ||
-                 std::holds_alternative<token::RouteSet>(it.Meaning) ||
-                 std::holds_alternative<ZoneDrain>(it.Meaning);
-    if (auto *routes = std::get_if<token::RouteSet>(&it.Meaning)) {
+    OperatorsHaveWritten =
+        OperatorsHaveWritten ||
+        std::holds_alternative<token::RouteSet>(it.Content) ||
+        std::holds_alternative<ZoneDrain>(it.Content);
+    if (auto *routes = std::get_if<token::RouteSet>(&it.Content)) {
       out.emplace_back(token::RoutesLearned{std::move(*routes)});
-    } else if (auto *server = std::get_if<token::Registration>(&it.Meaning)) {
+    } else if (auto *server = std::get_if<token::Registration>(&it.Content)) {
       // The last item about a server counts: one that lapsed may be back.
       std::erase(servers.Ended, server->Id);
       std::erase(servers.Unreadable, server->Id);
       servers.Present.push_back(std::move(*server));
-    } else if (auto *ended = std::get_if<RegistrationEnded>(&it.Meaning)) {
+    } else if (auto *ended = std::get_if<RegistrationEnded>(&it.Content)) {
       forget(servers, ended->Id);
       servers.Ended.push_back(ended->Id);
-    } else if (auto *bad = std::get_if<RegistrationUnreadable>(&it.Meaning)) {
+    } else if (auto *bad = std::get_if<RegistrationUnreadable>(&it.Content)) {
       forget(servers, bad->Id);
       servers.Unreadable.push_back(bad->Id);
-    } else if (auto *record = std::get_if<RouteRecord>(&it.Meaning)) {
+    } else if (auto *record = std::get_if<RouteRecord>(&it.Content)) {
       out.emplace_back(token::PastRoutesLearned{record->Pairs});
       Recorded[record->Part] = std::move(*record);
-    } else if (auto *note = std::get_if<DirectoryNote>(&it.Meaning)) {
+    } else if (auto *note = std::get_if<DirectorySummary>(&it.Content)) {
       StoredDirectory = *note;
-    } else if (auto *drain = std::get_if<ZoneDrain>(&it.Meaning)) {
+    } else if (auto *drain = std::get_if<ZoneDrain>(&it.Content)) {
       out.emplace_back(token::ZoneDrainLearned{.Zone = std::move(drain->Zone),
                                                .Active = drain->Active});
-    } else if (auto *peer = std::get_if<PeerRecord>(&it.Meaning)) {
+    } else if (auto *peer = std::get_if<PeerRecord>(&it.Content)) {
       if (peer->Gone)
         Peers.erase(peer->Id);
       else
--- a/lib/edge/Reminders.cpp
+++ b/lib/edge/Reminders.cpp
@@ -52,7 +52,7 @@
   ++Turn;
   for (const auto &[id, peer] : Known)
     if (id != Self && tells(peer, Turn))
-      out.push_back(peer.Peers);
+      out.push_back(peer.PeerAddress);
   return out;
 }
 
@@ -64,7 +64,7 @@
   ++Turn;
   for (const auto &[id, left] : Former)
     if (now - left.At <= FormerFor && tells(left.Peer, Turn))
-      out.push_back(left.Peer.Peers);
+      out.push_back(left.Peer.PeerAddress);
   return out;
 }
 
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -129,10 +129,10 @@
   out.Core.Self = InstanceId{out.Ip};
   out.Core.Seed = hashBytes(out.Name);
   out.Core.Servers.RememberGone = out.Core.MaxFlowAge;
-  out.News.Pace = std::clamp<Duration>(out.Core.ApplyWithin / PacesInApply,
-                                       PaceLeast, PaceMost);
+  out.News.PollInterval = std::clamp<Duration>(
+      out.Core.ApplyWithin / PacesInApply, PaceLeast, PaceMost);
   out.Core.NewsGap =
-      std::chrono::duration_cast<Duration>(out.News.Pace * PacesInGap);
+      std::chrono::duration_cast<Duration>(out.News.PollInterval * PacesInGap);
   if (out.Grace > 2 * GraceReserve)
     out.StopAfter = std::min(out.StopAfter, out.Grace - GraceReserve);
   else
--- a/lib/edge/Shared.h
+++ b/lib/edge/Shared.h
@@ -9,7 +9,7 @@
 
 #include "Loop.h"
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 #include "chicorybank/token/Core.h"
 
 #include <atomic>
--- a/lib/edge/StartSequence.cpp
+++ b/lib/edge/StartupReads.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/StartSequence.h"
+#include "chicorybank/edge/StartupReads.h"
 
 #include "chicorybank/edge/Directory.h"
 
@@ -6,11 +6,12 @@
 
 namespace chicory::edge {
 
-RegistryCall StartSequence::call() const {
+RegistryCall StartupReads::call() const {
   switch (State) {
-  case Step::Orders:
-    return Dialect.readOrders(Orders.Items.empty() ? std::string()
-                                                   : Orders.Items.back().Key);
+  case Step::OperatorSettings:
+    return Dialect.readOperatorSettings(
+        OperatorSettings.Items.empty() ? std::string()
+                                       : OperatorSettings.Items.back().Key);
   case Step::Directory:
     return Dialect.readDirectory(Zone);
   case Step::OtherDirectories:
@@ -22,19 +23,18 @@
   return Dialect.readRouteRecords();
 }
 
-tl::expected<void, std::string> StartSequence::take(const std::string &body,
-                                                    Generation generation,
-                                                    Mirror &copy,
-                                                    Findings &findings,
-                                                    std::vector<Change> &out) {
+tl::expected<void, std::string>
+StartupReads::handleAnswer(const std::string &body, Generation generation,
+                           RegistryCache &copy, Findings &findings,
+                           std::vector<Change> &out) {
   switch (State) {
   case Step::Directory: {
     auto taken = takeDirectory(body, out);
-    State = Named.empty() ? Step::Done : Step::Orders;
+    State = Named.empty() ? Step::Done : Step::OperatorSettings;
     return taken;
   }
-  case Step::Orders:
-    return takeOrders(body, generation, copy, findings, out);
+  case Step::OperatorSettings:
+    return applyOperatorSettings(body, generation, copy, findings, out);
   case Step::PastRoutes:
     return takePastRoutes(body, generation, copy, findings, out);
   case Step::OtherDirectories:
@@ -46,56 +46,55 @@
 }
 
 tl::expected<void, std::string>
-StartSequence::takePastRoutes(const std::string &body, Generation generation,
-                              Mirror &copy, Findings &findings,
-                              std::vector<Change> &out) {
+StartupReads::takePastRoutes(const std::string &body, Generation generation,
+                             RegistryCache &copy, Findings &findings,
+                             std::vector<Change> &out) {
   State = Step::OtherDirectories;
-  auto page = Dialect.readPage(body);
+  auto page = Dialect.parsePage(body);
   if (!page)
     return tl::make_unexpected(page.error());
   page->setGeneration(generation);
-  page->yieldToAll();
-  out = copy.preview(*page, findings);
+  page->markMayBeStale();
+  out = copy.applyPartial(*page, findings);
   return {};
 }
 
-tl::expected<void, std::string>
-StartSequence::takeOrders(const std::string &body, Generation generation,
-                          Mirror &copy, Findings &findings,
-                          std::vector<Change> &out) {
+tl::expected<void, std::string> StartupReads::applyOperatorSettings(
+    const std::string &body, Generation generation, RegistryCache &copy,
+    Findings &findings, std::vector<Change> &out) {
   State = Step::PastRoutes;
   if (body.empty())
     return {};
-  auto page = Dialect.readPage(body);
+  auto page = Dialect.parsePage(body);
   if (!page)
     return tl::make_unexpected(page.error());
   page->setGeneration(generation);
-  if (!Orders.Items.empty() && Orders.At.Generation != generation) {
+  if (!OperatorSettings.Items.empty() &&
+      OperatorSettings.At.Generation != generation) {
     // Pages of two generations are no whole.
-    Orders = {};
-    State = Step::Orders;
+    OperatorSettings = {};
+    State = Step::OperatorSettings;
     return {};
   }
-  if (Orders.Items.empty())
-    Orders.At = page->At;
-  Orders.Items.insert(Orders.Items.end(), page->Items.begin(),
-                      page->Items.end());
+  if (OperatorSettings.Items.empty())
+    OperatorSettings.At = page->At;
+  OperatorSettings.Items.insert(OperatorSettings.Items.end(),
+                                page->Items.begin(), page->Items.end());
   if (page->More && !page->Items.empty()) {
-    State = Step::Orders;
+    State = Step::OperatorSettings;
     return {};
   }
-  out = copy.takeOrders(Orders, findings);
+  out = copy.applyOperatorSettings(OperatorSettings, findings);
   return {};
 }
 
 /// The servers become changes without an item: the copy holds only what the
 /// registry has told.
 tl::expected<void, std::string>
-StartSequence::takeDirectory(const std::string &body,
-                             std::vector<Change> &out) {
+StartupReads::takeDirectory(const std::string &body, std::vector<Change> &out) {
   if (body.empty())
     return {};
-  auto item = Dialect.readItem(body);
+  auto item = Dialect.parseItem(body);
   if (!item)
     return tl::make_unexpected(item.error());
   return addServers(*item, out);
@@ -103,10 +102,10 @@
 
 /// A part that can't be read leaves the others as they are.
 tl::expected<void, std::string>
-StartSequence::takeOtherDirectories(const std::string &body,
-                                    std::vector<Change> &out) {
+StartupReads::takeOtherDirectories(const std::string &body,
+                                   std::vector<Change> &out) {
   State = Step::Done;
-  auto page = Dialect.readPage(body);
+  auto page = Dialect.parsePage(body);
   if (!page)
     return tl::make_unexpected(page.error());
   tl::expected<void, std::string> taken;
@@ -121,34 +120,33 @@
 }
 
 tl::expected<void, std::string>
-StartSequence::addServers(const Item &part, std::vector<Change> &out) {
+StartupReads::addServers(const Item &part, std::vector<Change> &out) {
   auto directory = decodeDirectory(part.Value);
   if (!directory)
     return tl::make_unexpected(std::string(reasonName(directory.error())));
   Instances = std::max(Instances, directory->Instances);
   for (token::Registration &it : directory->Servers)
     if (Named.insert(it.Id).second)
-      out.push_back({.What = {}, .Meaning = std::move(it)});
+      out.push_back({.Source = {}, .Content = std::move(it)});
   return {};
 }
 
-double StartSequence::earlyShare() const {
+double StartupReads::earlyListShare() const {
   return static_cast<double>(EarlyLists) /
          static_cast<double>(std::max(Instances, EarlyLists));
 }
 
-Duration StartSequence::nextSpread() const {
+Duration StartupReads::callDelayMax() const {
   if (State != Step::OtherDirectories || !LastPart.empty())
     return Duration::zero();
   auto pairs = static_cast<int64_t>(Instances * Named.size());
-  return std::min<Duration>(
-      ListSpreadMost,
-      std::chrono::duration_cast<Duration>(OtherPartsSpread * pairs));
+  return std::min<Duration>(ListDelayMax, std::chrono::duration_cast<Duration>(
+                                              OtherPartsDelayPerPair * pairs));
 }
 
-Duration StartSequence::listSpread() const {
-  return std::min(ListSpreadMost,
-                  ListSpread * static_cast<int64_t>(Named.size()));
+Duration StartupReads::listDelayMax() const {
+  return std::min(ListDelayMax,
+                  ListDelayPerServer * static_cast<int64_t>(Named.size()));
 }
 
 } // namespace chicory::edge
--- a/lib/edge/WriteTurn.cpp
+++ b/lib/edge/WriteTurn.cpp
@@ -24,7 +24,7 @@
                                  patience * Times.PatienceFactor);
 }
 
-void WriteTurn::answered(const NewsAnswer &answer, Time now) {
+void WriteTurn::answered(const RegistryAnswer &answer, Time now) {
   Waiting = false;
   NotBefore = now + Times.RetryAfter;
   Overtaken = answer.Status == HttpPreconditionFailed && StoredAsOf == SentAsOf;
--- a/tests/AnnouncerTest.cpp
+++ b/tests/AnnouncerTest.cpp
@@ -22,7 +22,7 @@
 
 struct Announcing {
   Announcer Record{
-      Dialect, {.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}}, {}};
+      Dialect, {.Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}}, {}};
   Time Now = Start;
 
   /// The target of the call that is due; it gets this answer.
@@ -174,11 +174,12 @@
     auto last = other.Record.end();
     expectEqual<std::string>("/-/kv-txn", last->Target);
     section("its record says that it leaves, and goes with its lease", [&] {
-      PeerRecord self{.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}};
+      PeerRecord self{.Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}};
       self.Leaving = true;
-      expectEqual(Dialect.announce(self, 5).Body, last->Body);
+      expectEqual(Dialect.writeInstanceRecord(self, 5).Body, last->Body);
       self.Leaving = false;
-      expectTrue(Dialect.announce(self, 5).Body != last->Body, "as told");
+      expectTrue(Dialect.writeInstanceRecord(self, 5).Body != last->Body,
+                 "as told");
     });
     other.Now += 10s;
     expectEqual<std::string>("", other.step(Ok));
@@ -212,7 +213,8 @@
       Announcing late;
       late.step(Ok, record(false));
       expectEqual<std::string>("/-/kv-keep/9", late.step(Ok));
-      PeerRecord leaving{.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}};
+      PeerRecord leaving{
+          .Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}};
       leaving.Leaving = true;
       late.Now += 4s;
       late.step(Ok);
--- a/tests/DirectoryWriterTest.cpp
+++ b/tests/DirectoryWriterTest.cpp
@@ -15,9 +15,9 @@
 /// An instance's copy, and its writer.
 struct Writing {
   platform::StoreDialect Dialect;
-  Mirror Copy{Dialect};
+  RegistryCache Copy{Dialect};
   DirectoryWriter Writer{Dialect};
-  DirectoryNote Stored;
+  DirectorySummary Stored;
   Findings Faults;
   /// Bytes of all calls.
   size_t Written = 0;
@@ -25,8 +25,8 @@
   void read(const Store &store, Time now) {
     Copy.replaceAll(store.list(), Faults);
     if (const Item *note = store.item("chicorybank/start/digests")) {
-      News news = Dialect.translate(*note, Faults);
-      Stored = std::get<DirectoryNote>(news);
+      ItemContent news = Dialect.translate(*note, Faults);
+      Stored = std::get<DirectorySummary>(news);
     }
     Writer.learn(Copy, Stored, now);
   }
--- a/tests/EdgeSettingsTest.cpp
+++ b/tests/EdgeSettingsTest.cpp
@@ -103,7 +103,8 @@
     expectEqual<std::string>("", findings.text());
     expectEqual<std::string>("gikondo", settings->Core.Zone);
     expectEqual<uint16_t>(7720, settings->Peers.Port);
-    expectTrue(settings->News.Pace == 500ms, "a sixth of the time to apply");
+    expectTrue(settings->News.PollInterval == 500ms,
+               "a sixth of the time to apply");
     expectTrue(settings->StopAfter == 2500ms, "the routers turn away first");
   }
 
@@ -122,11 +123,11 @@
     // A gap has to be noticed before registrations that lapsed in it are taken
     // for ended: one and a half paces at most.
     auto usual = read(Good, findings);
-    expectTrue(usual->Core.NewsGap > usual->News.Pace &&
-                   usual->Core.NewsGap <= usual->News.Pace * 3 / 2,
+    expectTrue(usual->Core.NewsGap > usual->News.PollInterval &&
+                   usual->Core.NewsGap <= usual->News.PollInterval * 3 / 2,
                "a gap is little more than a pace");
     auto hasty = read(replaced("3000ms", "1500.5ms"), findings);
-    expectTrue(hasty && hasty->News.Pace < 260ms, "a shorter pace");
+    expectTrue(hasty && hasty->News.PollInterval < 260ms, "a shorter pace");
     auto brief = read(replaced("\"6s\"", "\"1.5s\""), findings);
     expectTrue(brief && brief->StopAfter <= 750ms, "an earlier end");
     expectEqual<std::string>("", findings.text());
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -46,7 +46,7 @@
       std::lock_guard lock(Lock);
       int64_t after = std::stoll(call.get_param_value("after"));
       tellGeneration(answer);
-      answer.status = Content.knows(after) ? Ok : Gone;
+      answer.status = Content.hasHistorySince(after) ? Ok : Gone;
       answer.set_content(bareBody(Content.since(after)), "application/json");
     });
     Http.Post("/-/kv-lease", [](const auto &, auto &answer) {
--- a/tests/NewsSpreadTest.cpp
+++ b/tests/NewsSpreadTest.cpp
@@ -24,7 +24,7 @@
       InstanceId id{0x0a000000 + z * 65536 + n};
       out[id] = {.Id = id,
                  .Zone = "zone-" + std::to_string(z),
-                 .Peers = {.Ip = id.Value, .Port = 7720}};
+                 .PeerAddress = {.Ip = id.Value, .Port = 7720}};
     }
   return out;
 }
--- a/tests/MirrorTest.cpp
+++ b/tests/RegistryCacheTest.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/Mirror.h"
+#include "chicorybank/edge/RegistryCache.h"
 
 #include "RegistrySamples.h"
 #include "Story.h"
@@ -12,8 +12,8 @@
 
 } // namespace
 
-class MirrorTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MirrorTest);
+class RegistryCacheTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RegistryCacheTest);
   CPPUNIT_TEST(followsListsAndChanges);
   CPPUNIT_TEST(ignoresWhatIsOlder);
   CPPUNIT_TEST(passesOnWhatAListFound);
@@ -35,17 +35,17 @@
     Store store;
     store.server(1);
     store.server(2);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     copy.replaceAll(store.list(), findings);
     store.remove("servers/i-2");
     copy.apply(store.since(2), findings);
     store.server(2);
-    Mirror started(Dialect);
+    RegistryCache started(Dialect);
     ItemPage old = store.list();
-    old.yieldToAll();
+    old.markMayBeStale();
     started.replaceAll(old, findings);
-    copy.replaceAll(started.whole(), findings);
+    copy.replaceAll(started.snapshot(), findings);
     expectEqual<size_t>(2, copy.registrationCount());
   }
 
@@ -59,16 +59,17 @@
     Store former = store;
     store.restore(backup);
     store.server(3);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     copy.replaceAll(former.list(), findings);
     section("a checksum of another generation", [&] {
-      Mirror same = copy;
-      expectTrue(!same.adopt(store.position(), same.digest()), "shows nothing");
+      RegistryCache same = copy;
+      expectTrue(!same.advanceIfEqual(store.position(), same.digest()),
+                 "shows nothing");
       expectTrue(same.position() == former.position(), "and moves nothing");
     });
     section("changes of a later one", [&] {
-      Mirror behind = copy;
+      RegistryCache behind = copy;
       expectTrue(behind.apply(store.since(1), findings).empty(),
                  "lead nowhere from here");
       expectTrue(behind.position() == former.position(), "and move nothing");
@@ -76,9 +77,9 @@
     section("its whole page", [&] {
       copy.replaceAll(store.list(), findings);
       expectTrue(copy.position() == store.position(), "is followed");
-      expectEqual<size_t>(1, copy.heldCount());
+      expectEqual<size_t>(1, copy.retainedCount());
       expectEqual<size_t>(2, copy.registrationCount());
-      expectTrue(!copy.since(former.position()),
+      expectTrue(!copy.changesSince(former.position()),
                  "nothing is passed on as changes to the former one");
     });
     section("a page of the former one, and its changes", [&] {
@@ -87,10 +88,10 @@
       expectEqual<size_t>(2, copy.registrationCount());
     });
     section("what was not written again has ended", [&] {
-      auto ended = copy.endHeld(HeldItems::Registrations, findings);
-      expectTrue(ended.size() == 1 && ended[0].What.Key == "servers/i-2",
+      auto ended = copy.expireRetained(RetainedItems::Registrations, findings);
+      expectTrue(ended.size() == 1 && ended[0].Source.Key == "servers/i-2",
                  "server 2");
-      expectEqual<size_t>(0, copy.heldCount());
+      expectEqual<size_t>(0, copy.retainedCount());
     });
   }
 
@@ -100,7 +101,7 @@
   // one before.
   void tellsOfAWarmUpOnce() {
     Store store;
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     auto told = [&](int left) {
       int64_t before = store.revision();
@@ -126,7 +127,7 @@
   void tellsOfAFaultOnce() {
     Store store;
     store.put("op/config", "[");
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     auto faults = [&] {
       Findings findings;
       copy.replaceAll(store.list(), findings);
@@ -145,15 +146,15 @@
   void passesOnWhatCannotBeRead() {
     Store store;
     store.server(1);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     copy.replaceAll(store.list(), findings);
     store.put("servers/i-1", "{}");
     copy.apply(store.since(1), findings);
-    Mirror other(Dialect);
-    auto told = other.replaceAll(copy.whole(), findings);
+    RegistryCache other(Dialect);
+    auto told = other.replaceAll(copy.snapshot(), findings);
     expectEqual<size_t>(1, told.size());
-    expectTrue(std::holds_alternative<RegistrationUnreadable>(told[0].Meaning),
+    expectTrue(std::holds_alternative<RegistrationUnreadable>(told[0].Content),
                "unreadable there as well");
     expectEqual(copy.digest(), other.digest());
   }
@@ -162,13 +163,13 @@
     Store store;
     store.server(1);
     store.config(2);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     expectEqual<size_t>(2, copy.replaceAll(store.list(), findings).size());
     store.remove("servers/i-1");
     auto changes = copy.apply(store.since(2), findings);
-    expectTrue(changes.size() == 1 && changes[0].What.Deleted, "the end");
-    expectEqual<size_t>(1, copy.whole().Items.size());
+    expectTrue(changes.size() == 1 && changes[0].Source.Deleted, "the end");
+    expectEqual<size_t>(1, copy.snapshot().Items.size());
     expectTrue(copy.position() == at(3), "it is as of the end");
   }
 
@@ -181,7 +182,7 @@
     store.server(1);
     ItemPage old = store.list();
     store.server(1, "draining");
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     copy.replaceAll(store.list(), findings);
     expectTrue(copy.apply(old, findings).empty(), "nothing new");
@@ -196,14 +197,14 @@
   void passesOnWhatAListFound() {
     Store store;
     store.server(1);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     copy.replaceAll(store.list(), findings);
     store.server(2);
     copy.apply({.At = at(2)}, findings);
     store.server(1, "ready", 2);
     copy.replaceAll(store.list(), findings);
-    auto page = copy.since(at(2));
+    auto page = copy.changesSince(at(2));
     expectTrue(page && page->Items.size() == 1 &&
                    page->Items[0].Key == "servers/i-2",
                "the skipped change is passed on");
@@ -212,17 +213,19 @@
   void hasAGapOnlyWhereHistoryIsMissing() {
     Store store;
     store.server(1);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
-    expectTrue(!copy.since(at(0)), "nothing is known");
+    expectTrue(!copy.changesSince(at(0)), "nothing is known");
     copy.replaceAll(store.list(), findings);
-    expectTrue(!copy.since(at(0)), "what was before the list is not known");
-    expectTrue(copy.since(at(1)) && copy.since(at(1))->Items.empty(),
+    expectTrue(!copy.changesSince(at(0)),
+               "what was before the list is not known");
+    expectTrue(copy.changesSince(at(1)) &&
+                   copy.changesSince(at(1))->Items.empty(),
                "nothing since");
     for (int n = 0; n < 600; ++n)
       store.server(1, n % 2 == 0 ? "draining" : "ready");
     copy.apply(store.since(1), findings);
-    expectTrue(!copy.since(at(1)), "the history is bounded");
+    expectTrue(!copy.changesSince(at(1)), "the history is bounded");
   }
 
   // Symptom: eight instances at a time read a megabyte from one, which takes it
@@ -232,14 +235,14 @@
   void reachesBackOverAllItemsOfALargeFleet() {
     Store store;
     store.config(1);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     copy.replaceAll(store.list(), findings);
     for (int n = 0; n < 2000; ++n)
       store.instance("10.0." + std::to_string(n / 200) + "." +
                      std::to_string(n % 200));
     copy.apply(store.since(1), findings);
-    auto page = copy.since(at(1));
+    auto page = copy.changesSince(at(1));
     expectTrue(page && page->Items.size() == 2000, "all of them");
   }
 
@@ -247,7 +250,7 @@
     Store store;
     store.server(1);
     store.server(2);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings findings;
     copy.replaceAll(store.list(), findings);
     int64_t before = store.revision();
@@ -256,7 +259,7 @@
     store.server(2, "draining");
     store.server(2);
     copy.apply(store.since(before), findings);
-    auto page = copy.since(at(before));
+    auto page = copy.changesSince(at(before));
     expectTrue(page && page->Items.size() == 2, "two keys");
     expectTrue(page->Items[0].Key == "servers/i-1" && page->Items[0].Deleted,
                "one has ended");
@@ -269,7 +272,7 @@
           rc::gen::inRange<uint64_t>(1, 5));
       Store store;
       store.config(1);
-      Mirror stepwise(Dialect);
+      RegistryCache stepwise(Dialect);
       Findings findings;
       for (uint64_t id : ids) {
         int64_t before = store.revision();
@@ -277,7 +280,7 @@
         stepwise.apply(store.since(before), findings);
       }
       stepwise.apply(store.since(0), findings);
-      Mirror whole(Dialect);
+      RegistryCache whole(Dialect);
       whole.replaceAll(store.list(), findings);
       RC_ASSERT(stepwise.digest() == whole.digest());
       store.server(9);
@@ -287,4 +290,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MirrorTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RegistryCacheTest);
--- a/tests/RegistrySamples.h
+++ b/tests/RegistrySamples.h
@@ -6,7 +6,7 @@
 #include "platform/StoreDialect.h"
 
 #include "chicorybank/edge/Directory.h"
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include <map>
 #include <rapidjson/document.h>
@@ -113,8 +113,8 @@
       remove(it);
   }
   /// Makes a call that writes, or that creates or renews a lease.
-  NewsAnswer change(const RegistryCall &call, Time now,
-                    const std::string &caller) {
+  RegistryAnswer change(const RegistryCall &call, Time now,
+                        const std::string &caller) {
     constexpr Duration LeaseLife = 12s;
     constexpr std::string_view Keep = "/-/kv-keep/";
     if (call.Target == "/-/kv-lease") {
@@ -133,7 +133,7 @@
     return transact(call.Body);
   }
   /// The history behind a revision is there.
-  bool knows(int64_t revision) const {
+  bool hasHistorySince(int64_t revision) const {
     return revision >= HistoryFrom && revision <= Revision;
   }
 
@@ -142,7 +142,7 @@
                                         const char *name) {
     return of.FindMember(name)->value;
   }
-  NewsAnswer transact(const std::string &body) {
+  RegistryAnswer transact(const std::string &body) {
     rapidjson::Document json;
     json.Parse(body.c_str());
     for (const auto &it : member(json, "expect").GetArray()) {
@@ -155,7 +155,7 @@
       if (lease != 0 && !Leases.contains(lease))
         return {.Status = 404, .Body = "{}"};
       // The dialect reads what it has written.
-      auto read = platform::StoreDialect().readItem(
+      auto read = platform::StoreDialect().parseItem(
           R"({"key":"x","revision":1,"value":")" +
           std::string(member(it, "value").GetString()) + R"("})");
       put(member(it, "key").GetString(), read->Value);
@@ -180,7 +180,8 @@
 
 /// Writes the directory of what a copy holds, without a call, as where so many
 /// instances are registered.
-inline void storeDirectory(Store &store, const Mirror &copy, size_t instances) {
+inline void storeDirectory(Store &store, const RegistryCache &copy,
+                           size_t instances) {
   for (const auto &[zone, digest] : copy.registrationDigests())
     store.put("chicorybank/start/zones/" + zone,
               encodeDirectory({.Servers = copy.registrations(zone),
@@ -189,7 +190,7 @@
 
 /// The body of an answer that holds one item, under a lease.
 inline std::string itemAnswer(const Item &item, int64_t lease = 0) {
-  std::string page = platform::StoreDialect().writePage({.Items = {item}});
+  std::string page = platform::StoreDialect().serializePage({.Items = {item}});
   size_t begin = page.find('[') + 1;
   std::string out = page.substr(begin, page.rfind(']') - begin);
   out.insert(out.size() - 1, ",\"lease\":" + std::to_string(lease));
@@ -199,10 +200,10 @@
 /// An answer of the registry: it holds bare revisions.
 inline std::string bareBody(ItemPage page) {
   page.setGeneration({});
-  return platform::StoreDialect().writePage(page);
+  return platform::StoreDialect().serializePage(page);
 }
 
-inline NewsAnswer bodyOf(const Store &store, const RegistryCall &call) {
+inline RegistryAnswer bodyOf(const Store &store, const RegistryCall &call) {
   std::string target = call.Target.substr(0, call.Target.find("&serializable"));
   std::string rest = target.substr(target.find('=') + 1);
   if (target.starts_with("/-/kv-key?key=")) {
@@ -215,27 +216,28 @@
     return {.Status = Ok, .Body = bareBody(store.list(rest))};
   constexpr std::string_view After = "after=";
   int64_t after = std::stoll(target.substr(target.find(After) + After.size()));
-  if (!store.knows(after))
+  if (!store.hasHistorySince(after))
     return {.Status = Gone};
   return {.Status = Ok, .Body = bareBody(store.since(after))};
 }
 
 /// The answer to any of the calls that read.
-inline NewsAnswer answerOf(const Store &store, const RegistryCall &call) {
-  NewsAnswer out = bodyOf(store, call);
+inline RegistryAnswer answerOf(const Store &store, const RegistryCall &call) {
+  RegistryAnswer out = bodyOf(store, call);
   out.Generation = store.generation();
   return out;
 }
 
 /// A reader with a clock, fed from a store.
-struct Reading {
-  explicit Reading(NewsTimes times = {}) : Reader(Dialect, times, 1, "a") {}
+struct WatcherFixture {
+  explicit WatcherFixture(WatcherTimes times = {})
+      : Watcher(Dialect, times, 1, "a") {}
 
   /// Reads what a start needs: all that comes before the first list.
   void start(const Store &store) {
-    while (!Reader.started())
+    while (!Watcher.started())
       if (stepOnce(store).empty())
-        Now = Reader.nextAt();
+        Now = Watcher.nextAt();
   }
   /// Makes the call that is due, after those of the start, and answers it.
   /// Returns its target, empty for none.
@@ -244,18 +246,18 @@
     return stepOnce(store);
   }
   std::string stepOnce(const Store &store) {
-    auto call = Reader.next(Now);
+    auto call = Watcher.next(Now);
     if (!call)
       return {};
     answer(answerOf(store, call->Call));
     return call->Call.Target;
   }
-  bool answer(const NewsAnswer &answer) {
-    return Reader.answered(answer, Now, Events);
+  bool answer(const RegistryAnswer &answer) {
+    return Watcher.answered(answer, Now, Events);
   }
   /// Lets a call fail; false where none is due.
   bool fail(int status = 0) {
-    if (!Reader.next(Now))
+    if (!Watcher.next(Now))
       return false;
     answer({.Status = status});
     return true;
@@ -270,7 +272,7 @@
   }
 
   platform::StoreDialect Dialect;
-  NewsReader Reader;
+  RegistryWatcher Watcher;
   Time Now = Start;
   std::vector<token::Event> Events;
 };
--- a/tests/NewsReaderTest.cpp
+++ b/tests/RegistryWatcherTest.cpp
@@ -1,6 +1,6 @@
 // Current news through everything that a registry does.
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include "chicorybank/edge/Directory.h"
 
@@ -16,8 +16,8 @@
 
 } // namespace
 
-class NewsReaderTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(NewsReaderTest);
+class RegistryWatcherTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RegistryWatcherTest);
   CPPUNIT_TEST(listsThenWatchesAtItsPace);
   CPPUNIT_TEST(staysSilentWhileOthersTell);
   CPPUNIT_TEST(listsAgainAfterAWatchThatHeardNothing);
@@ -55,9 +55,9 @@
     Store store;
     store.config(3);
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     expectEqual<std::string>("/-/kv-range?prefix=", reading.step(store));
-    expectTrue(reading.Reader.complete(), "everything was read");
+    expectTrue(reading.Watcher.complete(), "everything was read");
     expectEqual<std::string>("", reading.step(store));
     reading.Now += 500ms;
     store.config(4);
@@ -70,20 +70,20 @@
   void staysSilentWhileOthersTell() {
     Store store;
     store.server(1);
-    Reading one;
-    Reading two;
+    WatcherFixture one;
+    WatcherFixture two;
     one.step(store);
     two.step(store);
-    two.Reader.setPatience(1s, 1s);
+    two.Watcher.setPatience(1s, 1s);
     for (int n = 0; n < 10; ++n) {
       one.Now += 600ms;
       two.Now = one.Now;
       store.server(1, "ready", n + 2);
       store.config(n + 1);
       one.step(store);
-      NewsPush push = one.Reader.push(InstanceId{1},
-                                      two.Reader.mirror().position(), one.Now);
-      expectTrue(!two.Reader.takePush(push, false, two.Now, two.Events),
+      NewsPush push = one.Watcher.makePush(
+          InstanceId{1}, two.Watcher.cache().position(), one.Now);
+      expectTrue(!two.Watcher.applyPush(push, false, two.Now, two.Events),
                  "the push is enough");
       expectEqual<std::string>("", two.step(store));
     }
@@ -103,12 +103,12 @@
   void listsAgainAfterAWatchThatHeardNothing() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     reading.Now += 2s;
     reading.take<token::NewsChecked>();
     store.config(9);
-    reading.Reader.next(reading.Now);
+    reading.Watcher.next(reading.Now);
     reading.answer({.Status = Ok, .Body = bareBody({.At = store.position()})});
     expectTrue(reading.take<token::NewsChecked>().empty(),
                "silence does not show current news");
@@ -121,7 +121,7 @@
   void listsAgainWhenTheHistoryIsGone() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     reading.Now += 1s;
     expectTrue(reading.fail(Gone), "a watch is due");
@@ -132,7 +132,7 @@
     Store store;
     store.server(1);
     store.server(2);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     reading.Now += 1s;
     store.remove("servers/i-2");
@@ -152,7 +152,7 @@
   void listsEverythingNowAndThen() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     int lists = 0;
     for (int n = 0; n < 100; ++n) {
@@ -169,27 +169,28 @@
     store.config(3);
     store.server(1);
     store.server(2);
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
-    reading.Reader.next(reading.Now);
+    reading.Watcher.next(reading.Now);
     ItemPage first = store.list();
     first.Items.resize(2);
     first.More = true;
     reading.answer(
         {.Status = Ok, .Body = bareBody(first), .Generation = Generation{1}});
     expectTrue(reading.take<token::RoutesLearned>().size() == 1, "the routes");
-    expectTrue(!reading.Reader.complete(), "not all");
-    expectTrue(!reading.Reader.mirror().since(at(0)), "and nothing to pass on");
+    expectTrue(!reading.Watcher.complete(), "not all");
+    expectTrue(!reading.Watcher.cache().changesSince(at(0)),
+               "and nothing to pass on");
     ItemPage second = store.list();
     second.Items.erase(second.Items.begin(), second.Items.begin() + 2);
-    reading.Reader.next(reading.Now);
+    reading.Watcher.next(reading.Now);
     reading.answer(
         {.Status = Ok, .Body = bareBody(second), .Generation = Generation{1}});
-    expectTrue(reading.Reader.complete(), "all");
+    expectTrue(reading.Watcher.complete(), "all");
     auto learned = reading.take<token::BackendsLearned>();
     expectTrue(learned.size() == 1 && learned[0].Present.size() == 1,
                "the other server, and the first not again");
-    expectTrue(!reading.Reader.mirror().since(at(store.revision() - 1)),
+    expectTrue(!reading.Watcher.cache().changesSince(at(store.revision() - 1)),
                "what was before the list is not known");
   }
 
@@ -201,20 +202,20 @@
     Store store;
     store.server(1);
     store.server(2);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     reading.Now += 9s;
     reading.step(store);
     section(
         "a page of the list is due, and a change comes with the watch", [&] {
-          auto page = reading.Reader.next(reading.Now);
+          auto page = reading.Watcher.next(reading.Now);
           expectTrue(page && page->Call.Target == "/-/kv-range?prefix=",
                      "the first page");
           ItemPage first = store.list();
           first.Items.resize(1);
           first.More = true;
           reading.answer(
-              {.Status = Ok, .Body = reading.Dialect.writePage(first)});
+              {.Status = Ok, .Body = reading.Dialect.serializePage(first)});
           store.config(5);
           store.remove("servers/i-1");
           reading.Now += 500ms;
@@ -225,7 +226,7 @@
               "its change is known");
         });
     section("the list goes on and finds nothing wrong", [&] {
-      auto page = reading.Reader.next(reading.Now);
+      auto page = reading.Watcher.next(reading.Now);
       expectTrue(page && page->Call.Target ==
                              "/-/kv-range?prefix=&after=servers/i-1",
                  "the second page");
@@ -236,7 +237,7 @@
                       .Body = bareBody(second),
                       .Generation = Generation{1}});
       expectTrue(reading.take<token::BackendsLearned>().empty(), "no change");
-      expectTrue(reading.Reader.mirror().whole().Items.size() == 2,
+      expectTrue(reading.Watcher.cache().snapshot().Items.size() == 2,
                  "the configuration, which came after its page, and a server");
     });
   }
@@ -246,13 +247,13 @@
   void takesAnUnchangedRevisionForCurrent() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     reading.Now += 500ms;
-    reading.Reader.next(reading.Now);
+    reading.Watcher.next(reading.Now);
     reading.Now += 505ms;
     reading.answer({.Status = Ok, .Body = bareBody({.At = store.position()})});
-    expectTrue(reading.Reader.currentAt() == reading.Now - 5ms,
+    expectTrue(reading.Watcher.currentAt() == reading.Now - 5ms,
                "current when the wait was over");
     expectEqual<std::string>("/-/kv-watch?prefix=&after=1&wait_ms=500",
                              reading.step(store));
@@ -266,8 +267,8 @@
     Store store;
     store.server(1);
     store.server(2);
-    Reading saw;
-    Reading slept;
+    WatcherFixture saw;
+    WatcherFixture slept;
     saw.step(store);
     slept.step(store);
     store.remove("servers/i-2");
@@ -279,22 +280,22 @@
       slept.fail(Gone);
       slept.step(store);
       saw.Now = slept.Now;
-      NewsPush push = slept.Reader.push(
-          InstanceId{2}, saw.Reader.mirror().position(), saw.Now);
+      NewsPush push = slept.Watcher.makePush(
+          InstanceId{2}, saw.Watcher.cache().position(), saw.Now);
       saw.take<token::BackendsLearned>();
-      saw.Reader.takePush(push, false, saw.Now, saw.Events);
+      saw.Watcher.applyPush(push, false, saw.Now, saw.Events);
       auto learned = saw.take<token::BackendsLearned>();
       expectTrue(learned.size() == 1 && learned[0].Present.size() == 1,
                  "server 2 is back");
     });
     section("a copy that differs all the same is not copied", [&] {
       NewsPush push =
-          slept.Reader.push(InstanceId{2}, store.position(), saw.Now);
+          slept.Watcher.makePush(InstanceId{2}, store.position(), saw.Now);
       push.Digest ^= 1;
       saw.Now += 2s;
-      saw.Reader.takePush(push, false, saw.Now, saw.Events);
+      saw.Watcher.applyPush(push, false, saw.Now, saw.Events);
       saw.Now += 1s;
-      saw.Reader.takePush(push, false, saw.Now, saw.Events);
+      saw.Watcher.applyPush(push, false, saw.Now, saw.Events);
       expectEqual<std::string>("/-/kv-range?prefix=", saw.step(store));
     });
   }
@@ -305,18 +306,18 @@
   void listsForNoDifferenceThatPasses() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
-    Reading peer;
+    WatcherFixture peer;
     peer.step(store);
     for (int n = 0; n < 10; ++n) {
       reading.Now += 500ms;
       peer.Now = reading.Now;
       NewsPush push =
-          peer.Reader.push(InstanceId{2}, store.position(), reading.Now);
+          peer.Watcher.makePush(InstanceId{2}, store.position(), reading.Now);
       push.Age = 0s;
       push.Digest ^= n % 2 == 0 ? 1 : 0;
-      reading.Reader.takePush(push, false, reading.Now, reading.Events);
+      reading.Watcher.applyPush(push, false, reading.Now, reading.Events);
       std::string target = reading.step(store);
       expectTrue(!target.starts_with("/-/kv-range"), target);
     }
@@ -325,23 +326,23 @@
   void asksASenderForWhatDidNotFit() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
-    Time before = reading.Reader.currentAt();
+    Time before = reading.Watcher.currentAt();
     reading.Now += 300ms;
     NewsPush push{.Sender = InstanceId{2}, .Base = store.position()};
     push.Page.At = store.position();
     push.Page.At.Revision += 5;
     push.Complete = false;
     expectTrue(
-        reading.Reader.takePush(push, false, reading.Now, reading.Events),
+        reading.Watcher.applyPush(push, false, reading.Now, reading.Events),
         "the changes are missing");
-    expectTrue(reading.Reader.currentAt() == before,
+    expectTrue(reading.Watcher.currentAt() == before,
                "and the news is not current without them");
     push.Complete = true;
     push.Base.Revision += 3;
     expectTrue(
-        reading.Reader.takePush(push, false, reading.Now, reading.Events),
+        reading.Watcher.applyPush(push, false, reading.Now, reading.Events),
         "a gap before the changes");
   }
 
@@ -353,13 +354,13 @@
   void asksTheRegistryWhenASenderCannotTell() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
-    reading.Reader.setPatience(10s, 1s);
+    reading.Watcher.setPatience(10s, 1s);
     reading.Now += 100ms;
     expectEqual<std::string>("", reading.step(store));
     store.config(7);
-    reading.Reader.pullFailed();
+    reading.Watcher.pullFailed();
     expectTrue(!reading.step(store).empty(), "it asks at once");
     expectTrue(reading.take<token::RoutesLearned>().back().Routes.Version ==
                    RuleVersion{7},
@@ -380,17 +381,17 @@
       push.Page.At = store.position();
       return push;
     };
-    Reading reading;
-    expectTrue(!reading.Reader.needsSeed(pushed()),
+    WatcherFixture reading;
+    expectTrue(!reading.Watcher.needsSeed(pushed()),
                "the registry is asked first");
     section("unless a sender's stale news shows that it is away", [&] {
       NewsPush stale = pushed();
       stale.Age = 1600ms;
-      expectTrue(reading.Reader.needsSeed(stale), "no need to wait");
+      expectTrue(reading.Watcher.needsSeed(stale), "no need to wait");
     });
     reading.fail();
-    expectTrue(reading.Reader.needsSeed(pushed()), "it did not answer");
-    reading.Reader.takeSeed(store.list(), reading.Events);
+    expectTrue(reading.Watcher.needsSeed(pushed()), "it did not answer");
+    reading.Watcher.applySeed(store.list(), reading.Events);
     section("it serves, and takes nothing for current", [&] {
       auto events = reading.Events;
       expectTrue(reading.take<token::BackendsComplete>().size() == 1,
@@ -398,25 +399,27 @@
       reading.Events = events;
       expectTrue(reading.take<token::NewsChecked>().empty(),
                  "nobody knows how old it is");
-      expectTrue(!reading.Reader.needsSeed(pushed()), "there is no more");
-      expectTrue(reading.Reader.knowsAll() && !reading.Reader.complete(),
+      expectTrue(!reading.Watcher.needsSeed(pushed()), "there is no more");
+      expectTrue(reading.Watcher.hasAllItems() && !reading.Watcher.complete(),
                  "it may tell others who start");
     });
     section("its own pushes can be read, and serve those that start", [&] {
-      NewsPush own = reading.Reader.push(InstanceId{3}, {}, reading.Now);
+      NewsPush own = reading.Watcher.makePush(InstanceId{3}, {}, reading.Now);
       auto read = decodePush(encodePush(own));
       expectTrue(read.has_value(), "however old its news is");
-      expectTrue(Reading().Reader.needsSeed(*read), "another one starts");
+      expectTrue(WatcherFixture().Watcher.needsSeed(*read),
+                 "another one starts");
     });
     store.server(1, "draining");
-    expectTrue(reading.Reader.needsSeed(pushed()), "until something changes");
-    reading.Reader.takeSeed(store.list(), reading.Events);
+    expectTrue(reading.Watcher.needsSeed(pushed()), "until something changes");
+    reading.Watcher.applySeed(store.list(), reading.Events);
     expectTrue(reading.take<token::BackendsLearned>().size() == 1, "a drain");
     section("the registry answers", [&] {
       reading.Now += 1s;
       store.config(5);
       expectTrue(!reading.step(store).empty(), "a list");
-      expectTrue(!reading.Reader.needsSeed(pushed()), "peers push from now on");
+      expectTrue(!reading.Watcher.needsSeed(pushed()),
+                 "peers push from now on");
       auto events = reading.Events;
       expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
       reading.Events = events;
@@ -430,20 +433,20 @@
   void takesALatePushForNoProof() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
-    Time before = reading.Reader.currentAt();
+    Time before = reading.Watcher.currentAt();
     reading.Now += 4s;
-    NewsPush push = reading.Reader.push(InstanceId{2}, {}, reading.Now);
+    NewsPush push = reading.Watcher.makePush(InstanceId{2}, {}, reading.Now);
     push.Age = 10ms;
-    reading.Reader.takePush(push, true, reading.Now, reading.Events);
-    expectTrue(reading.Reader.currentAt() == before, "no proof");
+    reading.Watcher.applyPush(push, true, reading.Now, reading.Events);
+    expectTrue(reading.Watcher.currentAt() == before, "no proof");
   }
 
   void backsOffFromAFailingRegistry() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     int calls = 0;
     for (int n = 0; n < 1000; ++n) {
@@ -453,13 +456,13 @@
     }
     expectTrue(calls >= 8 && calls <= 25,
                "in 10 s of failure: " + std::to_string(calls));
-    expectTrue(reading.Reader.away(reading.Now), "it counts as away");
+    expectTrue(reading.Watcher.isStale(reading.Now), "it counts as away");
   }
 
   void leavesOutMereRenewals() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     reading.take<token::BackendsLearned>();
     reading.Now += 1s;
@@ -467,7 +470,7 @@
     reading.step(store);
     expectTrue(reading.take<token::BackendsLearned>().empty(),
                "nothing to tell");
-    auto page = reading.Reader.mirror().since(at(1));
+    auto page = reading.Watcher.cache().changesSince(at(1));
     expectTrue(page && page->Items.empty(), "nothing to pass on");
   }
 
@@ -477,7 +480,7 @@
     store.config(3);
     store.server(1);
     store.server(2);
-    Mirror copy(Dialect);
+    RegistryCache copy(Dialect);
     Findings faults;
     copy.replaceAll(store.list(), faults);
     // So many that an early list is unlikely.
@@ -489,52 +492,52 @@
   // as hundreds are where a whole fleet starts.
   void asksAgainForWhatAStartLost() {
     Store store = withDirectory();
-    Reading reading;
-    while (!reading.Reader.started()) {
+    WatcherFixture reading;
+    while (!reading.Watcher.started()) {
       reading.fail();
       reading.Now += 1s;
       std::string target = reading.stepOnce(store);
       expectTrue(target != "/-/kv-range?prefix=", target);
       reading.Now += 1s;
     }
-    expectEqual<uint64_t>(3, reading.Reader.mirror().routes()->Version.Value);
+    expectEqual<uint64_t>(3, reading.Watcher.cache().routes()->Version.Value);
   }
 
   // Guards against lists of everything by all that start, where a neighbour has
   // it already.
   void readsEverythingFromAPeerBeforeItLists() {
     Store store = withDirectory();
-    Reading peer;
+    WatcherFixture peer;
     peer.start(store);
-    while (!peer.Reader.complete() || !peer.Reader.mayPassOn()) {
+    while (!peer.Watcher.complete() || !peer.Watcher.mayPassOn()) {
       peer.Now += 1s;
       peer.step(store);
     }
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     reading.take<token::BackendsLearned>();
-    NewsPush push = peer.Reader.push(InstanceId{1},
-                                     peer.Reader.mirror().position(), peer.Now);
+    NewsPush push = peer.Watcher.makePush(
+        InstanceId{1}, peer.Watcher.cache().position(), peer.Now);
     expectTrue(
-        !reading.Reader.takePush(push, true, reading.Now, reading.Events),
+        !reading.Watcher.applyPush(push, true, reading.Now, reading.Events),
         "not from one that may have waited for long");
     push.Age = 5s;
     expectTrue(
-        !reading.Reader.takePush(push, false, reading.Now, reading.Events),
+        !reading.Watcher.applyPush(push, false, reading.Now, reading.Events),
         "nor from one that is out of touch");
     push.Age = 0s;
     expectTrue(
-        reading.Reader.takePush(push, false, reading.Now, reading.Events),
+        reading.Watcher.applyPush(push, false, reading.Now, reading.Events),
         "it reads from there");
-    reading.Reader.takePull(peer.Reader.mirror().whole(), true, reading.Now,
-                            reading.Events);
-    expectTrue(reading.Reader.complete(), "and knows everything");
+    reading.Watcher.applyPull(peer.Watcher.cache().snapshot(), true,
+                              reading.Now, reading.Events);
+    expectTrue(reading.Watcher.complete(), "and knows everything");
     expectTrue(reading.take<token::BackendsComplete>().size() == 1,
                "which is told");
-    expectTrue(reading.Reader.mirror().digest() ==
-                   peer.Reader.mirror().digest(),
+    expectTrue(reading.Watcher.cache().digest() ==
+                   peer.Watcher.cache().digest(),
                "it is the same");
-    expectTrue(!reading.Reader.away(reading.Now), "and current");
+    expectTrue(!reading.Watcher.isStale(reading.Now), "and current");
     expectTrue(reading.step(store).empty(), "no list follows");
   }
 
@@ -544,41 +547,41 @@
   void isAsCurrentAsThePushWhoseChangesItRead() {
     Store store;
     store.server(1);
-    Reading peer;
+    WatcherFixture peer;
     peer.step(store);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
     for (int n = 2; n <= 6; ++n) {
       peer.Now += 1s;
       reading.Now += 1s;
       store.server(static_cast<uint64_t>(n));
       peer.step(store);
-      NewsPush push = peer.Reader.push(InstanceId{1}, at(n), peer.Now);
+      NewsPush push = peer.Watcher.makePush(InstanceId{1}, at(n), peer.Now);
       push.Age = 100ms;
       push.Complete = false;
       push.Page.Items.clear();
       expectTrue(
-          reading.Reader.takePush(push, false, reading.Now, reading.Events),
+          reading.Watcher.applyPush(push, false, reading.Now, reading.Events),
           "it has to read");
       auto page =
-          peer.Reader.mirror().since(reading.Reader.mirror().position());
-      reading.Reader.takePull(*page, false, reading.Now, reading.Events);
-      expectTrue(reading.Reader.currentAt() == reading.Now - 100ms,
+          peer.Watcher.cache().changesSince(reading.Watcher.cache().position());
+      reading.Watcher.applyPull(*page, false, reading.Now, reading.Events);
+      expectTrue(reading.Watcher.currentAt() == reading.Now - 100ms,
                  "and is as current as its sender was");
     }
     section("a push that may have waited", [&] {
-      Time before = reading.Reader.currentAt();
+      Time before = reading.Watcher.currentAt();
       peer.Now += 1s;
       store.server(7);
       peer.step(store);
-      NewsPush push = peer.Reader.push(InstanceId{1}, at(7), peer.Now);
+      NewsPush push = peer.Watcher.makePush(InstanceId{1}, at(7), peer.Now);
       push.Complete = false;
       reading.Now += 1s;
-      reading.Reader.takePush(push, true, reading.Now, reading.Events);
+      reading.Watcher.applyPush(push, true, reading.Now, reading.Events);
       auto page =
-          peer.Reader.mirror().since(reading.Reader.mirror().position());
-      reading.Reader.takePull(*page, false, reading.Now, reading.Events);
-      expectTrue(reading.Reader.currentAt() == before, "shows nothing");
+          peer.Watcher.cache().changesSince(reading.Watcher.cache().position());
+      reading.Watcher.applyPull(*page, false, reading.Now, reading.Events);
+      expectTrue(reading.Watcher.currentAt() == before, "shows nothing");
     });
   }
 
@@ -587,7 +590,7 @@
   // neither the records of the others nor the rest of the registrations' text.
   void readsWhatAStartNeedsFirst() {
     Store store = withDirectory();
-    Reading reading;
+    WatcherFixture reading;
     expectEqual<std::string>(
         "/-/kv-key?key=chicorybank/start/zones/a&serializable=1",
         reading.stepOnce(store));
@@ -600,17 +603,17 @@
         "/-/kv-range?prefix=chicorybank/routes/&serializable=1",
         reading.stepOnce(store));
     expectEqual<std::string>("", reading.stepOnce(store));
-    reading.Now = reading.Reader.nextAt();
+    reading.Now = reading.Watcher.nextAt();
     expectEqual<std::string>(
         "/-/kv-range?prefix=chicorybank/start/zones/&serializable=1",
         reading.stepOnce(store));
-    expectTrue(reading.Reader.started(), "that is all");
+    expectTrue(reading.Watcher.started(), "that is all");
     expectTrue(reading.take<token::BackendsComplete>().empty(),
                "it may lack servers");
     expectTrue(reading.take<token::NewsChecked>().empty(),
                "and shows nothing to be current");
     section("the list comes within a share of the time for all lists", [&] {
-      reading.Now += 2 * StartSequence::ListSpread;
+      reading.Now += 2 * StartupReads::ListDelayPerServer;
       expectEqual<std::string>("/-/kv-range?prefix=&serializable=1",
                                reading.stepOnce(store));
       expectTrue(reading.take<token::BackendsComplete>().size() == 1, "all");
@@ -620,7 +623,7 @@
   void listsAtOnceWithoutADirectory() {
     Store store;
     store.config(3);
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
     expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
@@ -634,7 +637,7 @@
     Store store = withDirectory();
     Store old = store;
     store.config(4);
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     reading.Now += 1s;
     reading.stepOnce(old);
@@ -647,10 +650,10 @@
     // A watch would prove nothing: the old revision may be from before a
     // restore, and given out again.
     section("a list that is current follows", [&] {
-      expectTrue(!reading.Reader.mayPassOn(), "nobody is told until then");
+      expectTrue(!reading.Watcher.mayPassOn(), "nobody is told until then");
       expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
       expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
-      expectTrue(reading.Reader.mayPassOn(), "and others may be told");
+      expectTrue(reading.Watcher.mayPassOn(), "and others may be told");
     });
   }
 
@@ -666,7 +669,7 @@
         R"({"service":"records","address":"10.0.0.2:80","zone":"a","slots":2,)"
         R"("state":"ready","sequence":1})";
     store.put("servers/i-9", successor);
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     reading.Now += 1s;
     reading.stepOnce(store);
@@ -681,8 +684,8 @@
   // list. Grounds: whoever watches tells all within a pace.
   void waitsForNewsAfterAnOldList() {
     Store store = withDirectory();
-    Reading reading;
-    reading.Reader.setPatience(1500ms, 1s);
+    WatcherFixture reading;
+    reading.Watcher.setPatience(1500ms, 1s);
     reading.start(store);
     reading.Now += 100ms;
     reading.stepOnce(store);
@@ -699,7 +702,7 @@
   void endsWhatOnlyTheDirectoryNamed() {
     Store store = withDirectory();
     store.remove("servers/i-2");
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     reading.take<token::BackendsLearned>();
     reading.Now += 1s;
@@ -713,12 +716,12 @@
       old.config(3);
       old.server(1);
       Store later = withDirectory();
-      Reading behind;
+      WatcherFixture behind;
       behind.start(later);
       behind.Now += 1s;
       behind.stepOnce(old);
       behind.take<token::BackendsLearned>();
-      behind.Reader.takePull(later.list(), true, behind.Now, behind.Events);
+      behind.Watcher.applyPull(later.list(), true, behind.Now, behind.Events);
       auto back = behind.take<token::BackendsLearned>();
       expectTrue(back.size() == 1 && back[0].Present.size() == 1, "it is back");
     });
@@ -727,15 +730,15 @@
   void startsAllTheSameWithABadDirectory() {
     Store store = withDirectory();
     store.put("chicorybank/start/zones/a", "another writer's");
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
-    expectTrue(!reading.Reader.takeFindings().empty(), "it is told");
+    expectTrue(!reading.Watcher.takeFindings().empty(), "it is told");
     expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
     auto learned = reading.take<token::BackendsLearned>();
     expectTrue(learned.size() == 1 && learned[0].Present.size() == 2,
                "the list has all");
     section("a registry that fails is asked again for the same", [&] {
-      Reading other;
+      WatcherFixture other;
       other.fail(503);
       expectEqual<std::string>("", other.stepOnce(store));
       other.Now += 100ms;
@@ -751,28 +754,30 @@
   void adoptsARevisionAtWhichNothingDiffers() {
     Store store;
     store.server(1);
-    Reading early;
+    WatcherFixture early;
     early.step(store);
     store.server(1, "ready", 2);
-    Reading late;
+    WatcherFixture late;
     late.step(store);
-    NewsPush push = late.Reader.push(InstanceId{2}, store.position(), late.Now);
-    expectTrue(push.Base > early.Reader.mirror().position(), "a gap");
+    NewsPush push =
+        late.Watcher.makePush(InstanceId{2}, store.position(), late.Now);
+    expectTrue(push.Base > early.Watcher.cache().position(), "a gap");
     early.Now += 100ms;
     early.take<token::NewsChecked>();
-    expectTrue(!early.Reader.takePush(push, false, early.Now, early.Events),
+    expectTrue(!early.Watcher.applyPush(push, false, early.Now, early.Events),
                "nothing has to be read");
-    expectTrue(early.Reader.mirror().position() == store.position(),
+    expectTrue(early.Watcher.cache().position() == store.position(),
                "it is as of that revision");
     expectTrue(early.take<token::NewsChecked>().size() == 1, "and current");
     section("not where a server drains in between", [&] {
       store.server(1, "draining");
-      Reading third;
+      WatcherFixture third;
       third.step(store);
       NewsPush drained =
-          third.Reader.push(InstanceId{3}, store.position(), third.Now);
-      expectTrue(early.Reader.takePush(drained, false, early.Now, early.Events),
-                 "the change is missing");
+          third.Watcher.makePush(InstanceId{3}, store.position(), third.Now);
+      expectTrue(
+          early.Watcher.applyPush(drained, false, early.Now, early.Events),
+          "the change is missing");
     });
   }
 
@@ -784,10 +789,10 @@
   void needsNoListWhereAPushAgrees() {
     Store store;
     store.server(1);
-    Reading reading;
+    WatcherFixture reading;
     reading.step(store);
-    reading.Reader.setPatience(1500ms, 1s);
-    Reading first;
+    reading.Watcher.setPatience(1500ms, 1s);
+    WatcherFixture first;
     first.step(store);
     auto failing = [&] {
       reading.Now += 1500ms;
@@ -797,18 +802,18 @@
     };
     failing();
     NewsPush push =
-        first.Reader.push(InstanceId{2}, store.position(), first.Now);
+        first.Watcher.makePush(InstanceId{2}, store.position(), first.Now);
     push.Age = 100ms;
-    reading.Reader.takePush(push, false, reading.Now, reading.Events);
+    reading.Watcher.applyPush(push, false, reading.Now, reading.Events);
     reading.Now += 300ms;
     expectEqual<std::string>("", reading.stepOnce(store));
     section("but where the copies differ, or the push is old, it lists", [&] {
       failing();
       push.Age = 2s;
-      reading.Reader.takePush(push, false, reading.Now, reading.Events);
+      reading.Watcher.applyPush(push, false, reading.Now, reading.Events);
       push.Age = 100ms;
       push.Digest ^= 1;
-      reading.Reader.takePush(push, false, reading.Now, reading.Events);
+      reading.Watcher.applyPush(push, false, reading.Now, reading.Events);
       reading.Now += 300ms;
       expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
     });
@@ -820,7 +825,7 @@
     property("old reads, watches, dropped history and cuts in any order", [] {
       Store store = withDirectory();
       std::vector<Store> past{store};
-      Reading reading;
+      WatcherFixture reading;
       int version = 3;
       uint64_t highest = 0;
       auto steps =
@@ -834,7 +839,7 @@
         else if (it == 2)
           store.remove("servers/i-2");
         past.push_back(store);
-        auto call = reading.Reader.next(reading.Now);
+        auto call = reading.Watcher.next(reading.Now);
         if (!call)
           continue;
         bool mayBeOld =
@@ -855,7 +860,7 @@
         if (!current)
           continue;
         RC_ASSERT(highest == static_cast<uint64_t>(version));
-        RC_ASSERT(reading.Reader.mirror().registrationCount() ==
+        RC_ASSERT(reading.Watcher.cache().registrationCount() ==
                   store.list("servers/").Items.size());
       }
     });
@@ -865,7 +870,7 @@
     property("the copy is right after one good list", [] {
       Store store;
       store.server(1);
-      Reading reading;
+      WatcherFixture reading;
       reading.step(store);
       auto steps =
           *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
@@ -894,10 +899,10 @@
           reading.step(store);
         }
       }
-      reading.Reader.doubtAll(reading.Now);
+      reading.Watcher.revalidate(reading.Now);
       reading.Now += 5s;
       reading.step(store);
-      std::vector<Item> copy = reading.Reader.mirror().whole().Items;
+      std::vector<Item> copy = reading.Watcher.cache().snapshot().Items;
       std::vector<Item> truth = store.list().Items;
       RC_ASSERT(copy.size() == truth.size());
       for (size_t n = 0; n < copy.size(); ++n)
@@ -906,4 +911,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NewsReaderTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RegistryWatcherTest);
--- a/tests/RemindersTest.cpp
+++ b/tests/RemindersTest.cpp
@@ -22,7 +22,8 @@
 std::map<InstanceId, PeerRecord> peers(const std::vector<uint32_t> &ids) {
   std::map<InstanceId, PeerRecord> out;
   for (uint32_t it : ids)
-    out[InstanceId{it}] = {.Id = InstanceId{it}, .Zone = "a", .Peers = {it, 7}};
+    out[InstanceId{it}] = {
+        .Id = InstanceId{it}, .Zone = "a", .PeerAddress = {it, 7}};
   return out;
 }
 
--- a/tests/RestoreModel.h
+++ b/tests/RestoreModel.h
@@ -120,18 +120,19 @@
   /// there.
   std::string unsettled() const {
     for (const auto &it : Instances) {
-      const Mirror &copy = it->Reader.mirror();
-      if (copy.heldCount() != 0)
-        return it->Name + " holds " + std::to_string(copy.heldCount());
+      const RegistryCache &copy = it->Watcher.cache();
+      if (copy.retainedCount() != 0)
+        return it->Name + " holds " + std::to_string(copy.retainedCount());
       if (copy.position().Generation != Registry.generation())
         return it->Name + " is of another generation";
       if (!Registry.item("chicorybank/instances/" + it->Name))
         return it->Name + " has no record";
-      for (const Item &item : copy.whole().Items)
+      for (const Item &item : copy.snapshot().Items)
         if (const Item *real = Registry.item(item.Key);
             !real || real->Created != item.Created)
           return it->Name + " has a wrong " + item.Key;
-      if (copy.whole().Items.size() != Registry.list().Items.size() - unread())
+      if (copy.snapshot().Items.size() !=
+          Registry.list().Items.size() - unread())
         return it->Name + " lacks an item";
     }
     if (!Registry.item("chicorybank/routes/0"))
@@ -158,12 +159,13 @@
   struct Instance {
     Instance(size_t n, Time now, uint64_t seed)
         : Id{static_cast<uint32_t>(0x0a090000 + n + 1)},
-          Name(formatIp(Id.Value)), Reader(Dialect, {}, seed, zone(n)),
+          Name(formatIp(Id.Value)), Watcher(Dialect, {}, seed, zone(n)),
           Record(Dialect,
-                 {.Id = Id, .Zone = zone(n), .Peers = {Id.Value, 7720}}, {}),
+                 {.Id = Id, .Zone = zone(n), .PeerAddress = {Id.Value, 7720}},
+                 {}),
           Recorder(Dialect), Directory(Dialect),
           Spread({.Self = Id, .Zone = zone(n), .Seed = seed}), Since(now) {
-      Reader.setPatience(Spread.patience(), Spread.retryMost());
+      Watcher.setPatience(Spread.patience(), Spread.retryMost());
     }
     static std::string zone(size_t n) {
       return std::string(1, static_cast<char>('a' + n % 3));
@@ -171,7 +173,7 @@
     InstanceId Id;
     std::string Name;
     platform::StoreDialect Dialect;
-    NewsReader Reader;
+    RegistryWatcher Watcher;
     Announcer Record;
     RouteRecorder Recorder;
     DirectoryWriter Directory;
@@ -280,10 +282,10 @@
 
   void act(Instance &it) {
     if (Now - it.FrozenUntil < Step && it.FrozenUntil != Time{})
-      it.Reader.doubtAll(Now);
+      it.Watcher.revalidate(Now);
     std::vector<token::Event> events;
-    while (auto call = it.Reader.next(Now)) {
-      bool learned = it.Reader.answered(ask(it, call->Call), Now, events);
+    while (auto call = it.Watcher.next(Now)) {
+      bool learned = it.Watcher.answered(ask(it, call->Call), Now, events);
       tell(it, events);
       if (learned)
         push(it, true);
@@ -293,13 +295,13 @@
     writeRecords(it);
   }
 
-  NewsAnswer ask(Instance &it, const RegistryCall &call) {
+  RegistryAnswer ask(Instance &it, const RegistryCall &call) {
     ++Calls;
     if (Now < it.CutUntil)
       return {};
     // A read from a copy has the header of the registry as it is.
     if (call.Target.find("serializable") != std::string::npos) {
-      NewsAnswer out = answerOf(Replica[draw(Replica.size())], call);
+      RegistryAnswer out = answerOf(Replica[draw(Replica.size())], call);
       out.Generation = Registry.generation();
       return out;
     }
@@ -307,40 +309,41 @@
   }
 
   void writeRecords(Instance &it) {
-    if (it.Reader.told() && it.Reader.told() != it.ToldRecord) {
+    if (it.Watcher.latestGeneration() &&
+        it.Watcher.latestGeneration() != it.ToldRecord) {
       if (it.ToldRecord)
         it.Record.registryRestored();
-      it.ToldRecord = it.Reader.told();
+      it.ToldRecord = it.Watcher.latestGeneration();
     }
-    if (!it.Reader.started())
+    if (!it.Watcher.started())
       return;
     if (auto call = it.Record.next(Now)) {
       checkRenewal(it, *call);
       it.Record.answered(change(it, *call), Now);
     }
-    bool mayWrite =
-        it.Reader.complete() && !it.Reader.away(Now) && it.Reader.settled();
+    bool mayWrite = it.Watcher.complete() && !it.Watcher.isStale(Now) &&
+                    it.Watcher.generationIsCurrent();
     if (!mayWrite)
       return;
     if (auto call = it.Recorder.next(it.Spread.patience(), Now))
       it.Recorder.answered(change(it, *call), Now);
     if (auto call =
-            it.Directory.next(it.Reader.mirror(), it.Spread.patience(), Now))
+            it.Directory.next(it.Watcher.cache(), it.Spread.patience(), Now))
       it.Directory.answered(change(it, *call), Now);
   }
 
-  NewsAnswer change(Instance &it, const RegistryCall &call) {
+  RegistryAnswer change(Instance &it, const RegistryCall &call) {
     if (call.Method == "GET")
       return ask(it, call);
     ++Calls;
     if (Now < it.CutUntil)
       return {};
-    NewsAnswer out = Registry.change(call, Now, it.Name);
+    RegistryAnswer out = Registry.change(call, Now, it.Name);
     out.Generation = Registry.generation();
     if (out.Generation > it.ToldRecord) {
       it.Record.registryRestored();
       it.ToldRecord = out.Generation;
-      it.Reader.heard(out.Generation, Now);
+      it.Watcher.observeGeneration(out.Generation, Now);
     }
     return out;
   }
@@ -369,19 +372,19 @@
         take(it, *news);
     }
     events.clear();
-    if (it.Reader.peers() != it.Known) {
-      it.Known = it.Reader.peers();
+    if (it.Watcher.peers() != it.Known) {
+      it.Known = it.Watcher.peers();
       it.Spread.learn(it.Known);
-      it.Reader.setPatience(it.Spread.patience(), it.Spread.retryMost());
+      it.Watcher.setPatience(it.Spread.patience(), it.Spread.retryMost());
     }
     auto own = it.Known.find(it.Id);
     it.Record.seen(own == it.Known.end() ? nullptr : &own->second,
-                   it.Reader.currentAt());
-    if (const token::RouteSet *now = it.Reader.mirror().routes(); now && routes)
+                   it.Watcher.currentAt());
+    if (const token::RouteSet *now = it.Watcher.cache().routes(); now && routes)
       it.Recorder.learn(*now, Now);
     if (routes)
-      it.Recorder.learn(it.Reader.routeRecords(), 60s, Now);
-    it.Directory.learn(it.Reader.mirror(), it.Reader.directoryNote(), Now);
+      it.Recorder.learn(it.Watcher.routeRecords(), 60s, Now);
+    it.Directory.learn(it.Watcher.cache(), it.Watcher.directorySummary(), Now);
   }
 
   /// What an instance reads in its first seconds may be old, in any order.
@@ -404,13 +407,13 @@
   }
 
   void push(Instance &from, bool asked) {
-    if (!from.Reader.mayPassOn())
+    if (!from.Watcher.mayPassOn())
       return;
     if (from.PushedTo == Position{})
-      from.PushedTo = from.Reader.mirror().position();
-    NewsPush push = from.Reader.push(from.Id, from.PushedTo, Now);
-    from.PushedTo = from.Reader.mirror().position();
-    from.PushedAsOf = from.Reader.currentAt();
+      from.PushedTo = from.Watcher.cache().position();
+    NewsPush push = from.Watcher.makePush(from.Id, from.PushedTo, Now);
+    from.PushedTo = from.Watcher.cache().position();
+    from.PushedAsOf = from.Watcher.currentAt();
     for (Address target : from.Spread.targets(asked))
       for (auto &it : Instances)
         if (it->Id.Value == target.Ip && reach(from, *it))
@@ -422,23 +425,24 @@
 
   void receive(Instance &it, Instance &from, const NewsPush &push) {
     std::vector<token::Event> events;
-    if (it.Reader.needsSeed(push)) {
-      it.Reader.takeSeed(from.Reader.mirror().whole(), events);
+    if (it.Watcher.needsSeed(push)) {
+      it.Watcher.applySeed(from.Watcher.cache().snapshot(), events);
       return tell(it, events);
     }
-    Time before = it.Reader.currentAt();
-    bool behind = it.Reader.takePush(push, false, Now, events);
+    Time before = it.Watcher.currentAt();
+    bool behind = it.Watcher.applyPush(push, false, Now, events);
     tell(it, events);
     if (behind) {
-      auto page = from.Reader.mirror().since(it.Reader.mirror().position());
-      it.Reader.takePull(page ? *page : from.Reader.mirror().whole(), !page,
-                         Now, events);
+      auto page =
+          from.Watcher.cache().changesSince(it.Watcher.cache().position());
+      it.Watcher.applyPull(page ? *page : from.Watcher.cache().snapshot(),
+                           !page, Now, events);
       tell(it, events);
       return this->push(it, false);
     }
-    bool newer = it.Reader.currentAt() - it.PushedAsOf >= 250ms ||
-                 it.Reader.mirror().position() > it.PushedTo;
-    if (it.Reader.currentAt() > before && newer)
+    bool newer = it.Watcher.currentAt() - it.PushedAsOf >= 250ms ||
+                 it.Watcher.cache().position() > it.PushedTo;
+    if (it.Watcher.currentAt() > before && newer)
       this->push(it, false);
   }
 
@@ -446,7 +450,7 @@
     bool all = true;
     for (const auto &it : Instances)
       all = all &&
-            it->Reader.mirror().position().Generation == Registry.generation();
+            it->Watcher.cache().position().Generation == Registry.generation();
     if (!all)
       FollowedAfter = Now - CalmSince;
     if (Now - CalmSince < Settle + ApplyWithin)
--- a/tests/RestoreTest.cpp
+++ b/tests/RestoreTest.cpp
@@ -1,6 +1,6 @@
 // A registry that is restored from a copy some seconds old.
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include "RegistrySamples.h"
 #include "RestoreModel.h"
@@ -12,7 +12,7 @@
 namespace {
 
 /// The versions that came into force, oldest first.
-std::vector<uint64_t> versions(Reading &reading) {
+std::vector<uint64_t> versions(WatcherFixture &reading) {
   std::vector<uint64_t> out;
   for (const auto &it : reading.take<token::RoutesLearned>())
     out.push_back(it.Routes.Version.Value);
@@ -26,26 +26,26 @@
     Content.config(20);
     Content.server(1);
     Content.server(2);
-    Reader.step(Content);
+    Fixture.step(Content);
     Copy = Content;
     for (int n = 0; n < 20; ++n)
       Content.instance("10.9.0." + std::to_string(n + 1));
     Content.config(22);
     pass(500ms);
-    Reader.Events.clear();
+    Fixture.Events.clear();
   }
   /// Time passes, and the reader makes its calls.
   void pass(Duration time) {
     for (Duration done{}; done < time; done += 50ms) {
-      Reader.Now += 50ms;
-      while (!Reader.step(Content).empty())
+      Fixture.Now += 50ms;
+      while (!Fixture.step(Content).empty())
         ;
     }
   }
 
   Store Content;
   Store Copy;
-  Reading Reader;
+  WatcherFixture Fixture;
 };
 
 } // namespace
@@ -123,23 +123,23 @@
     BeforeARestore it;
     it.Content.put("op/evacuate/a", "{}");
     it.pass(1s);
-    it.Reader.Events.clear();
+    it.Fixture.Events.clear();
     it.Content.restore(it.Copy);
     it.pass(3s);
-    expectTrue(it.Reader.take<token::ZoneDrainLearned>().empty(),
+    expectTrue(it.Fixture.take<token::ZoneDrainLearned>().empty(),
                "a drain that is lost stands");
     it.Content.config(22);
     it.pass(1s);
-    expectTrue(it.Reader.take<token::ZoneDrainLearned>().empty(),
+    expectTrue(it.Fixture.take<token::ZoneDrainLearned>().empty(),
                "the operators may not have got to it yet");
     it.pass(2s);
-    auto drains = it.Reader.take<token::ZoneDrainLearned>();
+    auto drains = it.Fixture.take<token::ZoneDrainLearned>();
     expectTrue(drains.size() == 1 && !drains[0].Active, "it was taken back");
   }
 
   /// The answer that the store gives to a list, or a part of it.
-  static NewsAnswer page(const Store &store, size_t from, size_t count,
-                         bool more) {
+  static RegistryAnswer page(const Store &store, size_t from, size_t count,
+                             bool more) {
     ItemPage out = store.list();
     out.Items.erase(out.Items.begin(),
                     out.Items.begin() + static_cast<std::ptrdiff_t>(from));
@@ -157,30 +157,30 @@
     Store backup = store;
     store.server(1);
     store.server(2);
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
-    reading.Reader.next(reading.Now);
+    reading.Watcher.next(reading.Now);
     reading.answer(page(store, 0, 2, true));
     store.restore(backup);
     store.server(5);
-    reading.Reader.next(reading.Now);
+    reading.Watcher.next(reading.Now);
     reading.answer(page(store, 1, 5, false));
-    expectTrue(!reading.Reader.complete(), "they are no whole");
+    expectTrue(!reading.Watcher.complete(), "they are no whole");
     expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
-    expectTrue(reading.Reader.mirror().position() == store.position(),
+    expectTrue(reading.Watcher.cache().position() == store.position(),
                "a list of one generation is");
-    expectEqual<size_t>(1, reading.Reader.mirror().registrationCount());
+    expectEqual<size_t>(1, reading.Watcher.cache().registrationCount());
   }
 
   // Guards against a watch that is answered all the same, since its revision
   // exists again: what was written up to it would be skipped.
   void listsWhereAWatchStraddlesARestore() {
     BeforeARestore it;
-    Reading &reading = it.Reader;
+    WatcherFixture &reading = it.Fixture;
     it.Content.restore(it.Copy);
     it.Content.config(23);
     while (it.Content.revision() <
-           reading.Reader.mirror().position().Revision + 2)
+           reading.Watcher.cache().position().Revision + 2)
       it.Content.server(2, "ready", static_cast<int>(it.Content.revision()));
     reading.Now += 500ms;
     expectTrue(reading.stepOnce(it.Content).starts_with("/-/kv-watch"),
@@ -193,22 +193,23 @@
 
   void takesNoPushOfAFormerGenerationForProof() {
     BeforeARestore it;
-    Reading former = it.Reader;
+    WatcherFixture former = it.Fixture;
     it.Content.restore(it.Copy);
     it.pass(1s);
-    it.Reader.Events.clear();
-    it.Reader.Now += 100ms;
-    NewsPush push = former.Reader.push(InstanceId{9}, {}, it.Reader.Now);
+    it.Fixture.Events.clear();
+    it.Fixture.Now += 100ms;
+    NewsPush push = former.Watcher.makePush(InstanceId{9}, {}, it.Fixture.Now);
     push.Age = 1ms;
-    expectTrue(!it.Reader.Reader.takePush(push, false, it.Reader.Now,
-                                          it.Reader.Events),
+    expectTrue(!it.Fixture.Watcher.applyPush(push, false, it.Fixture.Now,
+                                             it.Fixture.Events),
                "there is nothing to read there");
-    expectTrue(it.Reader.take<token::NewsChecked>().empty(), "no proof");
-    expectEqual<uint64_t>(1, it.Reader.Reader.stats().OtherGenerations);
+    expectTrue(it.Fixture.take<token::NewsChecked>().empty(), "no proof");
+    expectEqual<uint64_t>(1, it.Fixture.Watcher.stats().OtherGenerations);
     section("the other way round, everything has to be read", [&] {
-      NewsPush later = it.Reader.Reader.push(InstanceId{8}, {}, it.Reader.Now);
+      NewsPush later =
+          it.Fixture.Watcher.makePush(InstanceId{8}, {}, it.Fixture.Now);
       expectTrue(
-          former.Reader.takePush(later, false, it.Reader.Now, former.Events),
+          former.Watcher.applyPush(later, false, it.Fixture.Now, former.Events),
           "from the sender");
     });
   }
@@ -221,25 +222,26 @@
     it.Content.config(24);
     auto without = [&](std::optional<Generation> header) {
       for (int n = 0; n < 20; ++n) {
-        it.Reader.Now += 100ms;
-        while (auto call = it.Reader.Reader.next(it.Reader.Now)) {
-          NewsAnswer answer = answerOf(it.Content, call->Call);
+        it.Fixture.Now += 100ms;
+        while (auto call = it.Fixture.Watcher.next(it.Fixture.Now)) {
+          RegistryAnswer answer = answerOf(it.Content, call->Call);
           answer.Generation = header;
-          it.Reader.answer(answer);
+          it.Fixture.answer(answer);
         }
       }
     };
     section("the header does not tell of the restore", [&] {
       without(Generation{1});
-      expectTrue(versions(it.Reader) == std::vector<uint64_t>{24},
+      expectTrue(versions(it.Fixture) == std::vector<uint64_t>{24},
                  "the list is below what was known");
     });
     section("it goes back", [&] {
       it.Content.config(25);
       without(Generation{0});
-      std::vector<uint64_t> told = versions(it.Reader);
+      std::vector<uint64_t> told = versions(it.Fixture);
       expectTrue(!told.empty() && told.back() == 25, "and is followed");
-      expectTrue(it.Reader.Reader.settled(), "without asking for ever");
+      expectTrue(it.Fixture.Watcher.generationIsCurrent(),
+                 "without asking for ever");
     });
   }
 
@@ -325,12 +327,12 @@
     it.Content.restore(it.Copy);
     it.Content.config(24);
     it.pass(1s);
-    expectTrue(versions(it.Reader) == std::vector<uint64_t>{24},
+    expectTrue(versions(it.Fixture) == std::vector<uint64_t>{24},
                "version 24 is in force within a second");
     section("and so is the next one", [&] {
       it.Content.config(27);
       it.pass(1s);
-      expectTrue(versions(it.Reader) == std::vector<uint64_t>{27},
+      expectTrue(versions(it.Fixture) == std::vector<uint64_t>{27},
                  "version 27");
     });
   }
@@ -347,13 +349,13 @@
     int64_t known = it.Content.revision();
     it.Content.restore(it.Copy);
     it.pass(1s);
-    it.Reader.Events.clear();
+    it.Fixture.Events.clear();
     it.Content.server(1, "draining");
     while (it.Content.revision() < known)
       it.Content.server(2, "ready", static_cast<int>(it.Content.revision()));
     it.pass(1s);
     bool drains = false;
-    for (const auto &news : it.Reader.take<token::BackendsLearned>())
+    for (const auto &news : it.Fixture.take<token::BackendsLearned>())
       for (const token::Registration &server : news.Present)
         drains = drains || server.Draining;
     expectTrue(drains, "the drain is known within a second");
--- a/tests/RouteRecorderTest.cpp
+++ b/tests/RouteRecorderTest.cpp
@@ -70,11 +70,11 @@
   void put(const std::string &key, const std::string &value) {
     // The store returns values as they were written, so a page of its own is
     // the way back from the call's text.
-    auto page = Dialect.readPage(R"({"items":[{"key":")" + key +
-                                 R"(","revision":)" + std::to_string(Revision) +
-                                 R"(,"value":")" + value + "\"}]}");
+    auto page = Dialect.parsePage(
+        R"({"items":[{"key":")" + key + R"(","revision":)" +
+        std::to_string(Revision) + R"(,"value":")" + value + "\"}]}");
     Findings findings;
-    News news = Dialect.translate(page->Items.at(0), findings);
+    ItemContent news = Dialect.translate(page->Items.at(0), findings);
     expectTrue(findings.empty(), "what is written can be read");
     auto record = std::get<RouteRecord>(news);
     Records[record.Part] = record;
--- a/tests/StartModel.h
+++ b/tests/StartModel.h
@@ -61,12 +61,13 @@
       Instances.push_back(std::make_unique<Instance>(n));
     std::map<InstanceId, PeerRecord> records;
     for (const auto &it : Instances)
-      records[it->Id] = {
-          .Id = it->Id, .Zone = "nyarutarama", .Peers = {.Ip = it->Id.Value}};
+      records[it->Id] = {.Id = it->Id,
+                         .Zone = "nyarutarama",
+                         .PeerAddress = {.Ip = it->Id.Value}};
     if (Options.Peers)
       for (const auto &it : Instances) {
         it->Spread.learn(records);
-        it->Reader.setPatience(it->Spread.patience(), it->Spread.retryMost());
+        it->Watcher.setPatience(it->Spread.patience(), it->Spread.retryMost());
       }
   }
 
@@ -90,11 +91,11 @@
   struct Instance {
     explicit Instance(size_t n)
         : Id{static_cast<uint32_t>(n + 1)},
-          Reader(Dialect, {}, n, "nyarutarama"),
+          Watcher(Dialect, {}, n, "nyarutarama"),
           Spread({.Self = Id, .Zone = "nyarutarama", .Seed = n}) {}
     InstanceId Id;
     platform::StoreDialect Dialect;
-    NewsReader Reader;
+    RegistryWatcher Watcher;
     NewsSpread Spread;
     bool Reads = false;
     bool Complete = false;
@@ -124,11 +125,11 @@
 
   /// An instance makes the call that is due, or comes back when one is.
   void act(Instance &it, Time now) {
-    if (it.Serves && it.Reader.complete() && !Options.Peers)
+    if (it.Serves && it.Watcher.complete() && !Options.Peers)
       return;
-    auto call = it.Reader.next(now);
+    auto call = it.Watcher.next(now);
     if (!call) {
-      Time due = it.Reader.nextAt();
+      Time due = it.Watcher.nextAt();
       if (due != Time::max())
         at(due, [this, &it](Time then) { act(it, then); });
       return;
@@ -147,7 +148,7 @@
     std::string target = call.Target;
     if (!Answers.contains(target))
       Answers[target] = page(call);
-    const NewsAnswer &out = Answers[target];
+    const RegistryAnswer &out = Answers[target];
     LinkFreeAt = std::max(LinkFreeAt, now) +
                  onLink(out.Body.size(), Options.RegistryBytesPerSecond);
     it.LinkFreeAt = std::max(it.LinkFreeAt, LinkFreeAt + Options.OneWay) +
@@ -155,9 +156,9 @@
     at(it.LinkFreeAt, [this, &it, &out](Time then) { take(it, out, then); });
   }
 
-  void take(Instance &it, const NewsAnswer &answer, Time now) {
+  void take(Instance &it, const RegistryAnswer &answer, Time now) {
     std::vector<token::Event> events;
-    bool learned = it.Reader.answered(answer, now, events);
+    bool learned = it.Watcher.answered(answer, now, events);
     note(it, events, now);
     if (learned && Options.Peers)
       push(it, true, now);
@@ -171,17 +172,17 @@
     }
     if (it.Routes && it.Servers && !std::exchange(it.Serves, true))
       Out.ServesAfter.push_back(now - it.StartedAt);
-    if (it.Reader.complete() && !std::exchange(it.Complete, true)) {
+    if (it.Watcher.complete() && !std::exchange(it.Complete, true)) {
       ++Completed;
       Out.CompleteAfter = now - Start;
     }
   }
 
   void push(Instance &from, bool asked, Time now) {
-    if (!from.Reader.mayPassOn())
+    if (!from.Watcher.mayPassOn())
       return;
     NewsPush push =
-        from.Reader.push(from.Id, from.Reader.mirror().position(), now);
+        from.Watcher.makePush(from.Id, from.Watcher.cache().position(), now);
     for (Address to : from.Spread.targets(asked)) {
       Instance &it = *Instances[to.Ip - 1];
       at(now + Options.OneWay, [this, &it, &from, push](Time then) {
@@ -191,17 +192,17 @@
   }
 
   void takePush(Instance &it, Instance &from, const NewsPush &push, Time now) {
-    Time before = it.Reader.currentAt();
+    Time before = it.Watcher.currentAt();
     std::vector<token::Event> events;
-    bool behind = it.Reader.takePush(push, false, now, events);
+    bool behind = it.Watcher.applyPush(push, false, now, events);
     note(it, events, now);
     if (!behind)
-      return it.Reader.currentAt() > before ? this->push(it, false, now)
-                                            : void();
+      return it.Watcher.currentAt() > before ? this->push(it, false, now)
+                                             : void();
     if (std::exchange(it.Reads, true))
       return;
     // The sender's link carries one page after the other.
-    auto page = std::make_shared<ItemPage>(from.Reader.mirror().whole());
+    auto page = std::make_shared<ItemPage>(from.Watcher.cache().snapshot());
     if (PageBytes == 0)
       PageBytes = encodePage(*page).size();
     from.LinkFreeAt = std::max(from.LinkFreeAt, now + Options.OneWay) +
@@ -209,7 +210,7 @@
     at(from.LinkFreeAt, [this, &it, page](Time then) {
       it.Reads = false;
       std::vector<token::Event> told;
-      it.Reader.takePull(*page, true, then, told);
+      it.Watcher.applyPull(*page, true, then, told);
       note(it, told, then);
       this->push(it, false, then);
     });
@@ -221,7 +222,7 @@
   }
 
   /// As `answerOf`, in pages.
-  NewsAnswer page(const RegistryCall &call) const {
+  RegistryAnswer page(const RegistryCall &call) const {
     if (call.Kind != CallKind::List)
       return answerOf(Registry, call);
     std::string target =
@@ -234,7 +235,7 @@
     out.More = out.Items.size() > Options.PageItems;
     if (out.More)
       out.Items.resize(Options.PageItems);
-    return {.Status = Ok, .Body = platform::StoreDialect().writePage(out)};
+    return {.Status = Ok, .Body = platform::StoreDialect().serializePage(out)};
   }
 
   const Store &Registry;
@@ -243,7 +244,7 @@
   std::priority_queue<Event> Events;
   uint64_t Ordered = 0;
   Time LinkFreeAt;
-  std::map<std::string, NewsAnswer> Answers;
+  std::map<std::string, RegistryAnswer> Answers;
   StartOutcome Out;
   size_t Completed = 0;
   size_t PageBytes = 0;
--- a/tests/StartSequenceTest.cpp
+++ b/tests/StartupReadsTest.cpp
@@ -1,6 +1,6 @@
 // Hundreds of instances that start at once.
 
-#include "chicorybank/edge/StartSequence.h"
+#include "chicorybank/edge/StartupReads.h"
 
 #include "chicorybank/edge/Directory.h"
 
@@ -47,7 +47,7 @@
 
 void addDirectory(Store &store) {
   platform::StoreDialect dialect;
-  Mirror copy(dialect);
+  RegistryCache copy(dialect);
   Findings faults;
   copy.replaceAll(store.list(), faults);
   storeDirectory(store, copy, copy.instanceCount());
@@ -66,8 +66,8 @@
 
 } // namespace
 
-class StartSequenceTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StartSequenceTest);
+class StartupReadsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(StartupReadsTest);
   CPPUNIT_TEST(servesSoonWhereHundredsStartAtOnce);
   CPPUNIT_TEST(growsWithServersNotWithInstances);
   CPPUNIT_TEST(servesFromItsOwnZoneFirst);
@@ -131,4 +131,4 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StartSequenceTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StartupReadsTest);
