--- a/tests/StoreDialectTest.cpp
+++ b/tests/StoreDialectTest.cpp
@@ -24,8 +24,8 @@
 constexpr const char *Server =
     R"({"service":"huvo11a","address":"10.128.0.9:8080","zone":"gikondo","version":"v1","slots":2,"state":"ready","warmup_left_ms":700,"sequence":4})";
 
-News read(const std::string &key, const std::string &value,
-          Findings &findings) {
+ItemContent read(const std::string &key, const std::string &value,
+                 Findings &findings) {
   return Dialect.translate({.Key = key, .Value = value}, findings);
 }
 
@@ -57,22 +57,22 @@
   CPPUNIT_TEST_SUITE_END();
 
   void readsTheGeneration() {
-    expectTrue(Dialect.readGeneration("3") == edge::Generation{3}, "a number");
+    expectTrue(Dialect.parseGeneration("3") == edge::Generation{3}, "a number");
     for (const char *text : {"", "x", "-1", "3 ", "99999999999999999999"})
-      expectTrue(!Dialect.readGeneration(text), text);
+      expectTrue(!Dialect.parseGeneration(text), text);
   }
 
   static token::Route readRouteOfType(const std::string &type) {
     std::string text = Config;
     text.replace(text.find("\"safe\""), 6, '"' + type + '"');
     Findings findings;
-    News news = read("op/config", text, findings);
+    ItemContent news = read("op/config", text, findings);
     return std::get<token::RouteSet>(news).Routes[0];
   }
 
   void readsTheConfiguration() {
     Findings findings;
-    News news = read("op/config", Config, findings);
+    ItemContent news = read("op/config", Config, findings);
     expectEqual<std::string>("", findings.text());
     const auto &routes = std::get<token::RouteSet>(news);
     expectTrue(routes.Version == RuleVersion{7}, "version 7");
@@ -106,7 +106,7 @@
     std::string text = Config;
     text.replace(text.find("198.18.0.1"), 10, "198.18.0.x");
     Findings findings;
-    News news = read("op/config", text, findings);
+    ItemContent news = read("op/config", text, findings);
     expectEqual<size_t>(1, std::get<token::RouteSet>(news).Routes.size());
     expectEqual<std::string>(
         "op/config.routes[0]: host: expected an IPv4 address\n",
@@ -115,7 +115,7 @@
 
   void readsWhatServersBearAtFirst() {
     auto warmUpsOf = [](const std::string &services, Findings &findings) {
-      News news = read(
+      ItemContent news = read(
           "op/config",
           R"({"version":7,"routes":[],"services":)" + services + "}", findings);
       return std::get<token::RouteSet>(news).WarmUps;
@@ -145,7 +145,7 @@
 
   void readsARegistration() {
     Findings findings;
-    News news = read("servers/i-7f3a91c2", Server, findings);
+    ItemContent news = read("servers/i-7f3a91c2", Server, findings);
     const auto &server = std::get<token::Registration>(news);
     expectEqual<uint64_t>(0x7f3a91c2, server.Id.Value);
     expectTrue(server.Where == Address{.Ip = 0x0a800009, .Port = 8080},
@@ -155,7 +155,8 @@
     expectTrue(server.WarmUpLeft == 700ms, "how long it stays slow");
     section("nothing else changes with that", [&] {
       Findings none;
-      News warmer = read("servers/i-7f3a91c2", changed("700", "100"), none);
+      ItemContent warmer =
+          read("servers/i-7f3a91c2", changed("700", "100"), none);
       auto later = std::get<token::Registration>(warmer);
       expectTrue(later.WarmUpLeft == 100ms, "it counts down");
       later.WarmUpLeft = 700ms;
@@ -165,12 +166,12 @@
       std::string text = Server;
       text.replace(text.find("ready"), 5, "draining");
       Findings none;
-      News leaving = read("servers/i-7f3a91c2", text, none);
+      ItemContent leaving = read("servers/i-7f3a91c2", text, none);
       expectTrue(std::get<token::Registration>(leaving).Draining, "draining");
     });
     section("it has ended", [] {
       Findings none;
-      News ended = Dialect.translate(
+      ItemContent ended = Dialect.translate(
           {.Key = "servers/i-7f3a91c2", .Deleted = true}, none);
       expectEqual<uint64_t>(0x7f3a91c2,
                             std::get<RegistrationEnded>(ended).Id.Value);
@@ -186,7 +187,7 @@
   void readsWhenAServerStarted() {
     auto bornIn = [](const std::string &text) {
       Findings findings;
-      News news = read("servers/i-1", text, findings);
+      ItemContent news = read("servers/i-1", text, findings);
       const auto *server = std::get_if<token::Registration>(&news);
       return server ? server->Born : -1;
     };
@@ -230,7 +231,7 @@
         changed("700", "\"soon\"")};
     for (const std::string &it : entries) {
       Findings findings;
-      News news = read("servers/i-7f", it, findings);
+      ItemContent news = read("servers/i-7f", it, findings);
       const auto *bad = std::get_if<RegistrationUnreadable>(&news);
       section(it.substr(0, 80), [&] {
         expectTrue(bad && bad->Id.Value == 0x7f, "it is told of that server");
@@ -239,14 +240,14 @@
     }
     section("an id with more digits than a packet has room for", [] {
       Findings findings;
-      News news = read("servers/0123456789abcdef0", Server, findings);
+      ItemContent news = read("servers/0123456789abcdef0", Server, findings);
       expectTrue(std::holds_alternative<std::monostate>(news), "names nobody");
     });
   }
 
   void readsZonesThatAreDrained() {
     auto drainOf = [](const Item &item, Findings &findings) {
-      News news = Dialect.translate(item, findings);
+      ItemContent news = Dialect.translate(item, findings);
       const auto *out = std::get_if<ZoneDrain>(&news);
       return out ? *out : ZoneDrain{.Zone = "none"};
     };
@@ -286,14 +287,15 @@
         R"("value":"eyIxOTguMTguMC4xOjQ0MyI6WzcsOV19","lease":0}],"remove":[]})",
         Dialect.writeRouteRecords({record}).Body);
     Findings findings;
-    News news = Dialect.translate({.Key = "chicorybank/routes/3",
-                                   .Value = R"({"198.18.0.1:443":[7,9]})",
-                                   .At = {.Revision = 12}},
-                                  findings);
+    ItemContent news =
+        Dialect.translate({.Key = "chicorybank/routes/3",
+                           .Value = R"({"198.18.0.1:443":[7,9]})",
+                           .At = {.Revision = 12}},
+                          findings);
     expectTrue(std::get<RouteRecord>(news) == record, "the same");
     section("what can't be read says nothing, the rest holds", [] {
       Findings faults;
-      News rest = Dialect.translate(
+      ItemContent rest = Dialect.translate(
           {.Key = "chicorybank/routes/3",
            .Value = R"({"x":[1],"198.18.0.1:443":[7,-1,"9",1e30]})"},
           faults);
@@ -325,19 +327,19 @@
   }
 
   void readsListsAndChanges() {
-    auto page = Dialect.readPage(
+    auto page = Dialect.parsePage(
         R"({"events":[{"key":"my/leader","value":"bm9kZS0x","revision":412,"created":410,"lease":77120},{"key":"my/old","revision":413,"deleted":true}],"store_revision":413})");
     expectTrue(page.has_value(), "it can be read");
     expectEqual<int64_t>(413, page->At.Revision);
     expectEqual<std::string>("node-1", page->Items[0].Value);
     expectEqual<int64_t>(410, page->Items[0].Created);
     expectTrue(page->Items[1].Deleted, "the second has ended");
-    auto list = Dialect.readPage(
+    auto list = Dialect.parsePage(
         R"({"items":[],"has_more":true,"store_revision":530})");
     expectTrue(list && list->More && list->At.Revision == 530,
                "a page of many");
-    expectTrue(!Dialect.readPage("{\"items\":[{}]}"), "an item without a key");
-    expectTrue(!Dialect.readPage("<html>"), "no JSON");
+    expectTrue(!Dialect.parsePage("{\"items\":[{}]}"), "an item without a key");
+    expectTrue(!Dialect.parsePage("<html>"), "no JSON");
   }
 
   void passesOnWhatItRead() {
@@ -349,7 +351,7 @@
                              .At = {.Revision = 6},
                              .Deleted = true}},
                   .At = {.Revision = 9}};
-    auto again = Dialect.readPage(Dialect.writePage(page));
+    auto again = Dialect.parsePage(Dialect.serializePage(page));
     expectTrue(again && again->Items == page.Items && again->At.Revision == 9,
                "the same items");
   }
@@ -378,13 +380,13 @@
     expectEqual<std::string>("{\"ttl_ms\":8000}", Dialect.createLease(8s).Body);
     expectEqual<std::string>("/-/kv-keep/77120",
                              Dialect.renewLease(77120).Target);
-    expectTrue(Dialect.readLease(R"({"lease":77120,"ttl_ms":3000})") == 77120,
+    expectTrue(Dialect.parseLease(R"({"lease":77120,"ttl_ms":3000})") == 77120,
                "a lease");
-    RegistryCall call =
-        Dialect.announce({.Id = InstanceId{0x0a000001},
-                          .Zone = "a",
-                          .Peers = {.Ip = 0x0a000001, .Port = 7720}},
-                         5);
+    RegistryCall call = Dialect.writeInstanceRecord(
+        {.Id = InstanceId{0x0a000001},
+         .Zone = "a",
+         .PeerAddress = {.Ip = 0x0a000001, .Port = 7720}},
+        5);
     expectTrue(call.Body.find("chicorybank/instances/10.0.0.1") !=
                    std::string::npos,
                "its own key");
--- a/tests/ZoneDrainTest.cpp
+++ b/tests/ZoneDrainTest.cpp
@@ -15,8 +15,8 @@
 using namespace samples::token;
 namespace registry = samples::registry;
 using chicory::edge::ItemPage;
-using registry::Reading;
 using registry::Store;
+using registry::WatcherFixture;
 
 namespace {
 
@@ -46,7 +46,8 @@
 const ZoneDrainLearned DrainA{.Zone = "a", .Active = true};
 const ZoneDrainLearned RestoreA{.Zone = "a", .Active = false};
 
-std::set<std::string> &drained(std::set<std::string> &zones, Reading &reading) {
+std::set<std::string> &drained(std::set<std::string> &zones,
+                               WatcherFixture &reading) {
   for (const ZoneDrainLearned &it : reading.take<ZoneDrainLearned>())
     if (it.Active)
       zones.insert(it.Zone);
@@ -261,7 +262,7 @@
 
   void isReadBeforePacketsAreCarried() {
     Store store = storeWithDrain();
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     std::set<std::string> zones;
     expectTrue(drained(zones, reading) == std::set<std::string>{"a"},
@@ -273,23 +274,23 @@
   // written; the orders stand on the second.
   void readsOrdersInPages() {
     Store store = storeWithDrain();
-    Reading reading;
+    WatcherFixture reading;
     reading.stepOnce(store);
-    auto call = reading.Reader.next(reading.Now);
+    auto call = reading.Watcher.next(reading.Now);
     ItemPage first = store.list("op/");
     ItemPage second = first;
     first.Items.pop_back();
     first.More = true;
     second.Items.erase(second.Items.begin());
     reading.answer(
-        {.Status = registry::Ok, .Body = reading.Dialect.writePage(first)});
-    call = reading.Reader.next(reading.Now);
+        {.Status = registry::Ok, .Body = reading.Dialect.serializePage(first)});
+    call = reading.Watcher.next(reading.Now);
     expectEqual<std::string>("/-/kv-range?prefix=op/&after=op/config",
                              call->Call.Target);
-    reading.answer(
-        {.Status = registry::Ok, .Body = reading.Dialect.writePage(second)});
+    reading.answer({.Status = registry::Ok,
+                    .Body = reading.Dialect.serializePage(second)});
     expectTrue(reading.take<RoutesLearned>().size() == 1, "the configuration");
-    expectEqual<size_t>(1, reading.Reader.mirror().routes() ? size_t{1}
+    expectEqual<size_t>(1, reading.Watcher.cache().routes() ? size_t{1}
                                                             : size_t{0});
   }
 
@@ -301,17 +302,17 @@
     Store old = storeWithDrain();
     Store store = old;
     store.remove("op/evacuate/a");
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     reading.Now += 3s;
     reading.step(old);
     std::set<std::string> zones;
     expectTrue(drained(zones, reading).empty(), "it stays ended");
     section("also after a neighbour told all it knows", [&] {
-      Reading seeded;
+      WatcherFixture seeded;
       seeded.fail();
-      seeded.Reader.takeSeed(store.list(), seeded.Events);
-      seeded.Reader.takePull(old.list(), true, seeded.Now, seeded.Events);
+      seeded.Watcher.applySeed(store.list(), seeded.Events);
+      seeded.Watcher.applyPull(old.list(), true, seeded.Now, seeded.Events);
       expectTrue(drained(zones, seeded).empty(), "it stays ended");
     });
   }
@@ -324,7 +325,7 @@
     Store store = storeWithDrain();
     Store old = store;
     store.put("op/evacuate/b", "{}");
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     reading.Now += 3s;
     reading.step(old);
@@ -335,18 +336,18 @@
 
   void isToldByANeighbourWhileTheRegistryIsAway() {
     Store store = storeWithDrain();
-    Reading knows;
-    knows.Reader.takeSeed(store.list(), knows.Events);
-    Reading starts;
+    WatcherFixture knows;
+    knows.Watcher.applySeed(store.list(), knows.Events);
+    WatcherFixture starts;
     starts.fail();
-    starts.Reader.takeSeed(knows.Reader.mirror().whole(), starts.Events);
+    starts.Watcher.applySeed(knows.Watcher.cache().snapshot(), starts.Events);
     std::set<std::string> zones;
     expectTrue(drained(zones, starts) == std::set<std::string>{"a"}, "drained");
   }
 
   void survivesDroppedHistory() {
     Store store = storeWithDrain();
-    Reading reading;
+    WatcherFixture reading;
     reading.start(store);
     reading.Now += 3s;
     reading.step(store);
@@ -365,7 +366,7 @@
     property("orders, old reads, dropped history, cuts and restarts", [] {
       Store store = storeWithDrain();
       std::vector<Store> past{store};
-      auto reading = std::make_unique<Reading>();
+      auto reading = std::make_unique<WatcherFixture>();
       std::set<std::string> zones;
       int64_t startedAt = 0;
       auto steps =
@@ -380,18 +381,19 @@
           store.server(2, "ready", static_cast<int>(store.revision()));
         past.push_back(store);
         if (it == 4) {
-          reading = std::make_unique<Reading>();
+          reading = std::make_unique<WatcherFixture>();
           zones.clear();
           startedAt = 0;
         }
-        auto call = reading->Reader.next(reading->Now);
+        auto call = reading->Watcher.next(reading->Now);
         if (!call)
           continue;
         bool mayBeOld =
             call->Call.Target.find("serializable") != std::string::npos;
         size_t lag = mayBeOld ? *rc::gen::inRange<size_t>(0, past.size()) : 0;
         const Store &read = past[past.size() - 1 - lag];
-        bool orders = call->Call.Kind == chicory::edge::CallKind::Orders;
+        bool orders =
+            call->Call.Kind == chicory::edge::CallKind::OperatorSettings;
         if (it == 5 || it == 6) {
           reading->answer({.Status = it == 5 ? 0 : 410});
           continue;
@@ -406,8 +408,8 @@
         if (startedAt == store.revision())
           RC_ASSERT(zones == drainedIn(store));
         // A whole answer that is current leaves nothing out.
-        if (reading->Reader.complete() && !mayBeOld &&
-            reading->Reader.mirror().position() == store.position())
+        if (reading->Watcher.complete() && !mayBeOld &&
+            reading->Watcher.cache().position() == store.position())
           RC_ASSERT(zones == drainedIn(store));
       }
     });
--- a/tests/fuzz/registry_item.cpp
+++ b/tests/fuzz/registry_item.cpp
@@ -20,7 +20,7 @@
                   .At = {.Revision = 5},
                   .Created = 4};
   Findings findings;
-  edge::News news = dialect.translate(item, findings);
+  edge::ItemContent news = dialect.translate(item, findings);
   if (const auto *server = std::get_if<token::Registration>(&news)) {
     require(findings.empty());
     require(server->Slots > 0 && server->Born >= 0);
--- a/tests/fuzz/registry_page.cpp
+++ b/tests/fuzz/registry_page.cpp
@@ -7,11 +7,11 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size) {
   const chicory::platform::StoreDialect dialect;
-  auto page = dialect.readPage(textOf(data, size));
-  (void)dialect.readLease(textOf(data, size));
+  auto page = dialect.parsePage(textOf(data, size));
+  (void)dialect.parseLease(textOf(data, size));
   if (!page)
     return 0;
-  auto again = dialect.readPage(dialect.writePage(*page));
+  auto again = dialect.parsePage(dialect.serializePage(*page));
   require(again && again->Items == page->Items);
   return 0;
 }
