--- a/lib/edge/ControlWorker.cpp
+++ b/lib/edge/ControlWorker.cpp
@@ -97,7 +97,7 @@
 /// The figures that explain most, for whoever has logs alone.
 void ControlWorker::writeStatus() {
   EdgeStats stats = Common.stats();
-  const NewsStats &news = News.stats();
+  const WatcherStats &news = News.stats();
   RegistryCallCounts calls = News.callCounts();
   constexpr double MsPerSecond = 1000;
   Lines.write(
@@ -105,11 +105,11 @@
           .with("rules", static_cast<int64_t>(stats.RuleVersion))
           .with("news_age_ms",
                 static_cast<int64_t>(stats.UpdateAgeSeconds * MsPerSecond))
-          .with("revision", News.watcher().mirror().position().Revision)
-          .with("registry_revision", News.watcher().toldPosition().Revision)
+          .with("revision", News.watcher().cache().position().Revision)
+          .with("registry_revision", News.watcher().registryPosition().Revision)
           .with("generation",
                 static_cast<int64_t>(
-                    News.watcher().mirror().position().Generation.Value))
+                    News.watcher().cache().position().Generation.Value))
           .with("servers", static_cast<int64_t>(stats.Servers))
           .with("drained_zones", namesOf(stats.Drained))
           .with("flows", static_cast<int64_t>(stats.Flows))
--- a/lib/edge/OutageGossip.cpp
+++ b/lib/edge/OutageGossip.cpp
@@ -53,7 +53,7 @@
   ++Turn;
   for (const auto &[id, peer] : Known)
     if (id != Self && tells(peer, Turn))
-      out.push_back(peer.Peers);
+      out.push_back(peer.PeerAddress);
   return out;
 }
 
@@ -65,7 +65,7 @@
   ++Turn;
   for (const auto &[id, left] : Former)
     if (now - left.At <= FormerRetention && tells(left.Peer, Turn))
-      out.push_back(left.Peer.Peers);
+      out.push_back(left.Peer.PeerAddress);
   return out;
 }
 
--- a/lib/edge/PropagationTree.cpp
+++ b/lib/edge/PropagationTree.cpp
@@ -78,7 +78,7 @@
     size_t heads = zone == own ? FanOut + 1 : HeadsPerOtherZone;
     for (size_t n = 0; n < std::min(heads, places.size()); ++n)
       if (places[n].Peer.Id != Options.Self)
-        Heads.push_back(places[n].Peer.Peers);
+        Heads.push_back(places[n].Peer.PeerAddress);
     if (zone == own) {
       auto self = std::find_if(places.begin(), places.end(), [&](auto &it) {
         return it.Peer.Id == Options.Self;
@@ -99,7 +99,7 @@
                              std::vector<Address> &out) const {
   for (size_t n = first; n < std::min(first + FanOut, places.size()); ++n)
     if (places[n].Peer.Id != Options.Self)
-      out.push_back(places[n].Peer.Peers);
+      out.push_back(places[n].Peer.PeerAddress);
 }
 
 /// Where this instance stands among others of the same place, from 0 to 1.
@@ -121,7 +121,7 @@
       paces += DepthStep * (static_cast<double>(depthOf(rank) - 1) + share());
   }
   StalenessLimit = std::min(
-      std::chrono::duration_cast<Duration>(Options.Pace * paces),
+      std::chrono::duration_cast<Duration>(Options.PollInterval * paces),
       std::chrono::duration_cast<Duration>(Options.ApplyWithin * MostOfApply));
   RetryMax = rank == 0 ? Options.RetryMax
                        : std::chrono::duration_cast<Duration>(Options.RetryMax *
--- a/lib/edge/RegistrySync.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -28,13 +28,13 @@
       Reader(dialect, settings.Watcher, settings.Core.Seed, settings.Zone),
       Spread({.Self = InstanceId{settings.Ip},
               .Zone = settings.Zone,
-              .Pace = settings.Watcher.Pace,
+              .PollInterval = settings.Watcher.PollInterval,
               .ApplyWithin = settings.Core.ApplyWithin,
-              .RetryMax = settings.Watcher.RetryMost,
+              .RetryMax = settings.Watcher.RetryMax,
               .Seed = settings.Core.Seed}),
-      Records(loop, log, settings, dialect, Reader.mirror()),
+      Records(loop, log, settings, dialect, Reader.cache()),
       Registry(loop, settings.Ip, settings.Registry, dialect),
-      Pages(loop, settings.Ip, Reader.mirror()),
+      Pages(loop, settings.Ip, Reader.cache()),
       Others(InstanceId{settings.Ip}, settings.Zone) {
   Reader.setStalenessLimit(Spread.stalenessLimit(), Spread.retryMax());
   Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { readPushes(); });
@@ -46,9 +46,9 @@
   passNews();
   shareDoubts(now);
   learnRecord(now);
-  Reader.heard(Records.takeNewGeneration(), now);
-  if (Reader.told())
-    Records.learnGeneration(Reader.told());
+  Reader.observeGeneration(Records.takeNewGeneration(), now);
+  if (Reader.latestGeneration())
+    Records.learnGeneration(Reader.latestGeneration());
   if (!Leaving) {
     callRegistry(now);
     noteRegistry(now);
@@ -72,7 +72,7 @@
 void RegistrySync::callRegistry(Time now) {
   if (Registry.busy())
     return;
-  std::optional<NewsCall> call = Reader.next(now);
+  std::optional<TimedCall> call = Reader.next(now);
   if (!call)
     return;
   CallKind kind = call->Call.Kind;
@@ -111,13 +111,13 @@
 void RegistrySync::learnRecord(Time now) {
   if (!std::exchange(RoutesChanged, false))
     return;
-  Records.learnRoutes(Reader.mirror().routes(), Reader.routeHistory(), now);
+  Records.learnRoutes(Reader.cache().routes(), Reader.routeHistory(), now);
 }
 
 void RegistrySync::takeAnswer(const HttpClient::Result &result) {
   Time now = steadyNow();
   std::vector<token::Event> news;
-  Position before = Reader.mirror().position();
+  Position before = Reader.cache().position();
   bool learned = Reader.answered(toRegistryAnswer(result, Dialect), now, news);
   noteRestore(before, InstanceId{});
   tell(std::move(news), InstanceId{}, now);
@@ -130,14 +130,14 @@
     return;
   // What came before the first list is nobody's change.
   if (PushedTo == Position{})
-    PushedTo = Reader.mirror().position();
+    PushedTo = Reader.cache().position();
   sendPush(true, now);
 }
 
 /// `copy_revision` above `revision`: what was read in between is lost in the
 /// registry. `held` items of it wait for being written again.
 void RegistrySync::noteRestore(const Position &before, InstanceId from) {
-  Position after = Reader.mirror().position();
+  Position after = Reader.cache().position();
   if (before == Position{} || before.Generation == after.Generation)
     return;
   Lines.write(
@@ -147,7 +147,7 @@
           .with("former", static_cast<int64_t>(before.Generation.Value))
           .with("copy_revision", before.Revision)
           .with("revision", after.Revision)
-          .with("held", static_cast<int64_t>(Reader.mirror().heldCount())));
+          .with("held", static_cast<int64_t>(Reader.cache().retainedCount())));
 }
 
 void RegistrySync::tell(std::vector<token::Event> news, InstanceId from,
@@ -172,7 +172,7 @@
   Records.learnOwnRecord(own == Others.registered().end() ? nullptr
                                                           : &own->second,
                          Reader.currentAt());
-  Records.learnDirectory(Reader.directoryNote(), now);
+  Records.learnDirectory(Reader.directorySummary(), now);
 }
 
 /// From whom an order came shows whether the registry was asked or a neighbour
@@ -182,7 +182,7 @@
   Lines.write(LogLine("zone_drain_learned")
                   .with("zone", drain.Zone)
                   .with("active", drain.Active ? 1 : 0)
-                  .with("revision", Reader.mirror().position().Revision)
+                  .with("revision", Reader.cache().position().Revision)
                   .with("from", senderName(from)));
 }
 
@@ -266,13 +266,14 @@
     return pullSeed(push.Sender);
   Time before = Reader.currentAt();
   std::vector<token::Event> news;
-  bool behind = Reader.takePush(push, now < LateUntil, now, news);
+  bool behind = Reader.applyPush(push, now < LateUntil, now, news);
   tell(std::move(news), push.Sender, now);
   if (behind)
     return pull(push.Sender, !Reader.complete());
   // Half a pace newer than what was passed on last: worth a datagram to each.
-  bool newer = Reader.currentAt() - PushedAsOf >= Settings.Watcher.Pace / 2 ||
-               Reader.mirror().position() > PushedTo;
+  bool newer =
+      Reader.currentAt() - PushedAsOf >= Settings.Watcher.PollInterval / 2 ||
+      Reader.cache().position() > PushedTo;
   if (Reader.currentAt() > before && newer)
     sendPush(false, now);
 }
@@ -281,8 +282,8 @@
   if (!Reader.mayPassOn())
     return;
   std::vector<Address> targets = Spread.targets(asked);
-  UpdatePush push = Reader.push(InstanceId{Settings.Ip}, PushedTo, now);
-  PushedTo = Reader.mirror().position();
+  UpdatePush push = Reader.makePush(InstanceId{Settings.Ip}, PushedTo, now);
+  PushedTo = Reader.cache().position();
   PushedAsOf = Reader.currentAt();
   if (targets.empty())
     return;
@@ -306,7 +307,7 @@
     return;
   std::optional<Position> since;
   if (!whole)
-    since = Reader.mirror().position();
+    since = Reader.cache().position();
   Pages.read(from, addressOf(from), since,
              [this](const PageResult &page) { takePulled(page); });
 }
@@ -316,7 +317,7 @@
   auto it = Others.registered().find(id);
   return it == Others.registered().end()
              ? Address{.Ip = id.Value, .Port = Settings.Peers.Port}
-             : it->second.Peers;
+             : it->second.PeerAddress;
 }
 
 void RegistrySync::remindOthers(Time now) {
@@ -329,14 +330,14 @@
     return;
   // Whoever lacks something reads it from here.
   UpdatePush push =
-      Reader.push(InstanceId{Settings.Ip}, Reader.mirror().position(), now);
+      Reader.makePush(InstanceId{Settings.Ip}, Reader.cache().position(), now);
   std::string bytes = encodePush(push);
   for (Address it : targets)
     send(bytes, it);
 }
 
 bool RegistrySync::mayRemind() const {
-  return Settings.Core.Enabled.OutageGossip && Reader.knowsAll() &&
+  return Settings.Core.Enabled.OutageGossip && Reader.hasAllItems() &&
          Reader.mayPassOn();
 }
 
@@ -353,7 +354,7 @@
   if (!read.Page)
     return Lines.write(line.with("why", read.Error));
   std::vector<token::Event> news;
-  Reader.takeSeed(*read.Page, news);
+  Reader.applySeed(*read.Page, news);
   Lines.write(line.with("revision", read.Page->At.Revision));
   tell(std::move(news), read.Peer, steadyNow());
 }
@@ -369,8 +370,8 @@
   }
   Time now = steadyNow();
   std::vector<token::Event> news;
-  Position before = Reader.mirror().position();
-  Reader.takePull(*read.Page, read.Full, now, news);
+  Position before = Reader.cache().position();
+  Reader.applyPull(*read.Page, read.Full, now, news);
   noteRestore(before, read.Peer);
   tell(std::move(news), read.Peer, now);
   sendPush(false, now);
@@ -380,16 +381,16 @@
   // Long enough to read what waits in the socket.
   constexpr Duration Reading = std::chrono::milliseconds(100);
   LateUntil = now + Reading;
-  Reader.doubtAll(now);
+  Reader.revalidate(now);
 }
 
 void RegistrySync::noteRegistry(Time now) {
-  bool away = Reader.knowsAll() && Reader.away(now);
+  bool away = Reader.hasAllItems() && Reader.isStale(now);
   if (away == Away)
     return;
   Away = away;
   Lines.write(LogLine(away ? "news_stale" : "news_current")
-                  .with("revision", Reader.mirror().position().Revision));
+                  .with("revision", Reader.cache().position().Revision));
 }
 
 void RegistrySync::updateBounds(const token::BoundsChanged &bounds) {
--- a/lib/edge/RegistrySync.h
+++ b/lib/edge/RegistrySync.h
@@ -48,8 +48,8 @@
   void updateBounds(const token::BoundsChanged &bounds);
   /// Takes this instance out of the others' order.
   void leave();
-  const NewsStats &stats() const { return Reader.stats(); }
-  const NewsReader &watcher() const { return Reader; }
+  const WatcherStats &stats() const { return Reader.stats(); }
+  const RegistryWatcher &watcher() const { return Reader; }
   /// Calls to the registry, of whatever kind.
   RegistryCallCounts callCounts() const;
   const PeerMessageStats &peerStats() const { return Traffic; }
@@ -78,7 +78,7 @@
   /// What is missing here is missing in the registry, and calls to it are not
   /// wasted.
   bool mayWrite() const {
-    return Reader.complete() && !Away && Reader.settled();
+    return Reader.complete() && !Away && Reader.generationIsCurrent();
   }
   void takePeers(Time now);
   void takePulled(const PageResult &read);
@@ -98,7 +98,7 @@
   SharedState &Common;
   EventLoop &Events;
   FileDescriptor Socket;
-  NewsReader Reader;
+  RegistryWatcher Reader;
   PropagationTree Spread;
   RegistryWriter Records;
   RegistryClient Registry;
--- a/lib/edge/RegistryWriter.cpp
+++ b/lib/edge/RegistryWriter.cpp
@@ -16,11 +16,11 @@
 RegistryWriter::RegistryWriter(EventLoop &loop, Log &log,
                                const EdgeSettings &settings,
                                const RegistryDialect &dialect,
-                               const Mirror &copy)
+                               const RegistryCache &copy)
     : Lines(log), Settings(settings), Record(dialect,
                                              {.Id = InstanceId{settings.Ip},
                                               .Zone = settings.Zone,
-                                              .Peers = settings.Peers},
+                                              .PeerAddress = settings.Peers},
                                              {}),
       Recorder(dialect), Copy(copy), Directory(dialect), Dialect(dialect),
       Calls(loop, settings.Ip, settings.Registry, dialect) {}
@@ -60,7 +60,7 @@
 void RegistryWriter::announce(RegistryCall call) {
   Calls.call(std::move(call), CallTimeout,
              [this](const HttpClient::Result &it) {
-               NewsAnswer answer = toRegistryAnswer(it, Dialect);
+               RegistryAnswer answer = toRegistryAnswer(it, Dialect);
                Record.answered(answer, steadyNow());
                noteGeneration(answer);
              });
@@ -69,7 +69,7 @@
 void RegistryWriter::recordRoutes(RegistryCall call) {
   Calls.call(
       std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
-        NewsAnswer answer = toRegistryAnswer(it, Dialect);
+        RegistryAnswer answer = toRegistryAnswer(it, Dialect);
         Recorder.answered(answer, steadyNow());
         noteGeneration(answer);
         Lines.write(LogLine("routes_recorded").with("status", answer.Status));
@@ -79,7 +79,7 @@
 void RegistryWriter::writeDirectory(RegistryCall call) {
   Calls.call(
       std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
-        NewsAnswer answer = toRegistryAnswer(it, Dialect);
+        RegistryAnswer answer = toRegistryAnswer(it, Dialect);
         Directory.answered(answer, steadyNow());
         noteGeneration(answer);
         Lines.write(LogLine("directory_written").with("status", answer.Status));
@@ -93,7 +93,7 @@
   Recorder.learn(stored, Settings.Core.MaxFlowAge, now);
 }
 
-void RegistryWriter::noteGeneration(const NewsAnswer &answer) {
+void RegistryWriter::noteGeneration(const RegistryAnswer &answer) {
   if (answer.Generation <= Known)
     return;
   Told = answer.Generation;
--- a/lib/edge/RegistryWriter.h
+++ b/lib/edge/RegistryWriter.h
@@ -21,7 +21,7 @@
 class RegistryWriter {
 public:
   RegistryWriter(EventLoop &loop, Log &log, const EdgeSettings &settings,
-                 const RegistryDialect &dialect, const Mirror &copy);
+                 const RegistryDialect &dialect, const RegistryCache &copy);
 
   /// Ends a call whose time is over, and starts one that is due. Serving comes
   /// first: call it only once packets can be carried. `current`: everything was
@@ -39,7 +39,7 @@
   void learnOwnRecord(const PeerRecord *own, Time asOf) {
     Record.checkRecord(own, asOf);
   }
-  void learnDirectory(const DirectoryNote &stored, Time now) {
+  void learnDirectory(const DirectorySummary &stored, Time now) {
     Directory.learn(Copy, stored, now);
   }
   /// The record is to say that this instance leaves; nothing follows that.
@@ -59,13 +59,13 @@
   void recordRoutes(RegistryCall call);
   void writeDirectory(RegistryCall call);
   void sayThatItLeaves();
-  void noteGeneration(const NewsAnswer &answer);
+  void noteGeneration(const RegistryAnswer &answer);
 
   Log &Lines;
   const EdgeSettings &Settings;
   InstanceRegistrar Record;
   RouteHistoryWriter Recorder;
-  const Mirror &Copy;
+  const RegistryCache &Copy;
   DirectoryWriter Directory;
   const RegistryDialect &Dialect;
   std::optional<Generation> Known;
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -130,10 +130,10 @@
   out.Core.Self = InstanceId{out.Ip};
   out.Core.Seed = hashBytes(out.Name);
   out.Core.Servers.GoneRetention = out.Core.MaxFlowAge;
-  out.Watcher.Pace = std::clamp<Duration>(out.Core.ApplyWithin / PacesInApply,
-                                          PaceLeast, PaceMost);
-  out.Core.UpdateGap =
-      std::chrono::duration_cast<Duration>(out.Watcher.Pace * PacesInGap);
+  out.Watcher.PollInterval = std::clamp<Duration>(
+      out.Core.ApplyWithin / PacesInApply, PaceLeast, PaceMost);
+  out.Core.UpdateGap = std::chrono::duration_cast<Duration>(
+      out.Watcher.PollInterval * PacesInGap);
   if (out.Grace > 2 * GraceReserve)
     out.StopDelay = std::min(out.StopDelay, out.Grace - GraceReserve);
   else
--- a/lib/edge/StaggeredWrite.cpp
+++ b/lib/edge/StaggeredWrite.cpp
@@ -24,7 +24,7 @@
                                  stalenessLimit * Times.StalenessLimitFactor);
 }
 
-void StaggeredWrite::answered(const NewsAnswer &answer, Time now) {
+void StaggeredWrite::answered(const RegistryAnswer &answer, Time now) {
   Waiting = false;
   NotBefore = now + Times.RetryAfter;
   Overtaken = answer.Status == HttpPreconditionFailed && StoredAsOf == SentAsOf;
--- a/tests/EdgeSettingsTest.cpp
+++ b/tests/EdgeSettingsTest.cpp
@@ -104,7 +104,8 @@
     expectEqual<std::string>("", findings.text());
     expectEqual<std::string>("gikondo", settings->Core.Zone);
     expectEqual<uint16_t>(7720, settings->Peers.Port);
-    expectTrue(settings->Watcher.Pace == 500ms, "a sixth of the time to apply");
+    expectTrue(settings->Watcher.PollInterval == 500ms,
+               "a sixth of the time to apply");
     expectTrue(settings->StopDelay == 2500ms, "the routers turn away first");
   }
 
@@ -123,11 +124,11 @@
     // A gap has to be noticed before registrations that lapsed in it are taken
     // for ended: one and a half paces at most.
     auto usual = read(Good, findings);
-    expectTrue(usual->Core.UpdateGap > usual->Watcher.Pace &&
-                   usual->Core.UpdateGap <= usual->Watcher.Pace * 3 / 2,
+    expectTrue(usual->Core.UpdateGap > usual->Watcher.PollInterval &&
+                   usual->Core.UpdateGap <= usual->Watcher.PollInterval * 3 / 2,
                "a gap is little more than a pace");
     auto hasty = read(replaced("3000ms", "1500.5ms"), findings);
-    expectTrue(hasty && hasty->Watcher.Pace < 260ms, "a shorter pace");
+    expectTrue(hasty && hasty->Watcher.PollInterval < 260ms, "a shorter pace");
     auto brief = read(replaced("\"6s\"", "\"1.5s\""), findings);
     expectTrue(brief && brief->StopDelay <= 750ms, "an earlier end");
     expectEqual<std::string>("", findings.text());
