--- a/include/chicorybank/edge/Settings.h
+++ b/include/chicorybank/edge/Settings.h
@@ -5,7 +5,7 @@
 #define CHICORYBANK_EDGE_SETTINGS_H
 
 #include "chicorybank/base/Findings.h"
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 #include "chicorybank/token/Core.h"
 
 #include <optional>
@@ -27,7 +27,7 @@
   /// answers requests for updates and metrics with HTTP on the same TCP port.
   Address Peers;
   Address Registry;
-  NewsTimes Watcher;
+  WatcherTimes Watcher;
   token::CoreOptions Core;
   /// Time from the stop signal to the end of serving. Routers probe twice a
   /// second and stop sending new packets after two refusals; the rest is for
--- a/lib/edge/ControlWorker.cpp
+++ b/lib/edge/ControlWorker.cpp
@@ -98,7 +98,7 @@
 /// Logs the main statistics, for operators who have logs but no metrics.
 void ControlWorker::logStatus() {
   EdgeStats stats = State.stats();
-  const NewsStats &watcher = Sync.stats();
+  const WatcherStats &watcher = Sync.stats();
   RegistryCallCounts calls = Sync.callCounts();
   constexpr double MsPerSecond = 1000;
   Logger.write(
@@ -106,11 +106,11 @@
           .with("rules", static_cast<int64_t>(stats.RuleVersion))
           .with("news_age_ms",
                 static_cast<int64_t>(stats.UpdateAgeSeconds * MsPerSecond))
-          .with("revision", Sync.watcher().mirror().position().Revision)
-          .with("registry_revision", Sync.watcher().toldPosition().Revision)
+          .with("revision", Sync.watcher().cache().position().Revision)
+          .with("registry_revision", Sync.watcher().registryPosition().Revision)
           .with("generation",
                 static_cast<int64_t>(
-                    Sync.watcher().mirror().position().Generation.Value))
+                    Sync.watcher().cache().position().Generation.Value))
           .with("servers", static_cast<int64_t>(stats.Servers))
           .with("drained_zones", namesOf(stats.Drained))
           .with("flows", static_cast<int64_t>(stats.Flows))
--- a/lib/edge/Metrics.cpp
+++ b/lib/edge/Metrics.cpp
@@ -52,7 +52,7 @@
         << "\"} " << counts[n] << '\n';
 }
 
-void registryMetrics(std::ostringstream &out, const NewsStats &watcher,
+void registryMetrics(std::ostringstream &out, const WatcherStats &watcher,
                      const RegistryCallCounts &calls) {
   byKind(out, "chicory_registry_calls_total", "Registry calls, by kind",
          calls.Sent);
@@ -66,7 +66,7 @@
          "Detected restores of the registry", watcher.Generations);
   scalar(out, "chicory_registry_items_lost_total", "counter",
          "Items lost in a restore of the registry and not written again",
-         watcher.HeldEnded);
+         watcher.RetainedExpired);
   scalar(out, "chicory_news_pushes_other_generation_total", "counter",
          "Pushes with another generation than this instance's copy",
          watcher.OtherGenerations);
@@ -90,7 +90,7 @@
          routeHistory.Failed);
 }
 
-void peerMetrics(std::ostringstream &out, const NewsStats &watcher,
+void peerMetrics(std::ostringstream &out, const WatcherStats &watcher,
                  const PeerMessageStats &peers) {
   scalar(out, "chicory_news_pushes_total", "counter",
          "Registry updates pushed by other instances", watcher.Pushes);
@@ -113,7 +113,8 @@
 
 } // namespace
 
-std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &watcher,
+std::string renderEdgeMetrics(const EdgeStats &edge,
+                              const WatcherStats &watcher,
                               const RegistryCallCounts &calls,
                               const PeerMessageStats &peers,
                               const WriteStats &routeHistory) {
--- a/lib/edge/Metrics.h
+++ b/lib/edge/Metrics.h
@@ -10,7 +10,8 @@
 namespace chicory::edge {
 
 /// Renders all metrics.
-std::string renderEdgeMetrics(const EdgeStats &edge, const NewsStats &watcher,
+std::string renderEdgeMetrics(const EdgeStats &edge,
+                              const WatcherStats &watcher,
                               const RegistryCallCounts &calls,
                               const PeerMessageStats &peers,
                               const WriteStats &routeHistory);
--- a/lib/edge/PacketWorker.cpp
+++ b/lib/edge/PacketWorker.cpp
@@ -59,7 +59,7 @@
                            FileDescriptor packets, SharedState &shared)
     : Frames(framing), State(shared), Packets(std::move(packets)),
       Core(settings.Core), Batch(Packets.get()), Probes(Events, settings.Ip),
-      Suspension(MaxTurn), HoldPackets(settings.Core.Use.HoldAtStart) {
+      Suspension(MaxTurn), HoldPackets(settings.Core.Enabled.HoldAtStart) {
   State.PacketWakeup.attach(Events);
 }
 
@@ -71,7 +71,7 @@
 /// their copies, so the wait has a limit.
 void PacketWorker::startReading(Time now) {
   bool wait =
-      HoldPackets && !Core.carries() && !Core.serves() && now < HoldUntil;
+      HoldPackets && !Core.canForward() && !Core.isReady() && now < HoldUntil;
   if (Reading || wait)
     return;
   Reading = true;
@@ -122,7 +122,7 @@
       ++Stats.StaleOpenings;
       continue;
     }
-    handle(token::PacketSeen{.Head = *head, .Raw = raw}, now);
+    handle(token::PacketReceived{.Head = *head, .Raw = raw}, now);
   }
   if (count < static_cast<int>(SendBatch::Size))
     OpeningsMayBeStale = false;
@@ -145,7 +145,8 @@
       Batch.add(size, Frames.callerAddress(reset->Flow));
     } else if (const auto *probe = std::get_if<token::ProbeBackend>(&it)) {
       Probes.start(*probe, steadyNow());
-    } else if (const auto *unreachable = std::get_if<token::ShareDoubt>(&it)) {
+    } else if (const auto *unreachable =
+                   std::get_if<token::ReportUnreachable>(&it)) {
       if (State.UnreachableBackends.try_enqueue(unreachable->Id))
         State.ControlWakeup.wake();
     } else if (const auto *decision = std::get_if<token::Decision>(&it)) {
@@ -161,7 +162,7 @@
   while (State.Updates.try_dequeue(event))
     handle(event, now);
   Batch.flush();
-  if (Core.serves())
+  if (Core.isReady())
     State.ReadyToServe = true;
 }
 
@@ -189,7 +190,7 @@
   Stats.RuleVersion = Core.routes().version().Value;
   Stats.Drained = Core.backends().drainedZones();
   Stats.UpdateAgeSeconds =
-      std::chrono::duration<double>(now - Core.newsCurrentAt()).count();
+      std::chrono::duration<double>(now - Core.currentAt()).count();
   State.publish(Stats);
 }
 
--- a/lib/edge/PeerPages.cpp
+++ b/lib/edge/PeerPages.cpp
@@ -57,7 +57,7 @@
           : std::nullopt;
   if (!since && target != Whole)
     return {.Status = HttpNotFound};
-  if (since && !Cache.reachesBackTo(*since))
+  if (since && !Cache.hasHistorySince(*since))
     return {.Status = HttpGone};
   // All instances that pull after the same push request the same page.
   bool same = LastServed.Target == target &&
@@ -67,8 +67,8 @@
     LastServed = {.Target = target,
                   .At = Cache.position(),
                   .Digest = Cache.digest(),
-                  .Bytes =
-                      encodePage(since ? *Cache.since(*since) : Cache.whole())};
+                  .Bytes = encodePage(since ? *Cache.changesSince(*since)
+                                            : Cache.snapshot())};
   return {.Status = HttpOk, .Body = LastServed.Bytes, .ContentType = PageType};
 }
 
--- a/lib/edge/PeerPages.h
+++ b/lib/edge/PeerPages.h
@@ -7,7 +7,7 @@
 
 #include "Http.h"
 
-#include "chicorybank/edge/Mirror.h"
+#include "chicorybank/edge/RegistryCache.h"
 
 #include <functional>
 #include <memory>
@@ -35,7 +35,7 @@
   using Handler = std::function<void(PageResult)>;
 
   /// `from`: the local IP of the connections. `cache`: served to others.
-  PeerPages(EventLoop &loop, uint32_t from, const Mirror &cache)
+  PeerPages(EventLoop &loop, uint32_t from, const RegistryCache &cache)
       : Events(loop), SourceIp(from), Cache(cache) {}
 
   /// Answers another instance: "/news" returns a full copy, "/news?after=2.415"
@@ -62,7 +62,7 @@
 
   EventLoop &Events;
   uint32_t SourceIp;
-  const Mirror &Cache;
+  const RegistryCache &Cache;
   std::unique_ptr<HttpClient> Client;
   InstanceId PeerId;
   ServedPage LastServed;
--- a/lib/edge/PeerUpdates.cpp
+++ b/lib/edge/PeerUpdates.cpp
@@ -1,6 +1,6 @@
 // How a registry watcher applies the pushes and pages of other instances.
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,34 +19,35 @@
 
 } // namespace
 
-bool NewsReader::takePush(const NewsPush &push, bool late, Time now,
-                          std::vector<token::Event> &out) {
+bool RegistryWatcher::applyPush(const UpdatePush &push, bool late, Time now,
+                                std::vector<token::Event> &out) {
   ++Stats.Pushes;
   if (!Complete && (late || !replacesFirstList(push)))
     return false;
   if (Complete)
-    Copy.adopt(push.Page.At, push.Digest);
-  if (!Complete || mustRead(push)) {
-    Announcement.reset();
+    Cache.advanceIfEqual(push.Page.At, push.Digest);
+  if (!Complete || mustPull(push)) {
+    Pull.reset();
     if (!late)
-      Announcement = {.To = push.Page.At, .AsOf = now - push.Age};
+      Pull = {.To = push.Page.At, .AsOf = now - push.Age};
     return true;
   }
-  bool behind = push.Page.At > Copy.position();
-  if (push.Page.At.Generation != Copy.position().Generation) {
+  bool behind = push.Page.At > Cache.position();
+  if (push.Page.At.Generation != Cache.position().Generation) {
     ++Stats.OtherGenerations;
     return behind;
   }
   if (behind)
-    tell(Copy.apply(push.Page, Faults), out);
-  bool agrees = push.Page.At == Copy.position() && push.Digest == Copy.digest();
-  Unproven = Unproven && !agrees;
-  if (!late && !Unproven)
-    showCurrent(now - push.Age, out);
-  if (!late && settles(push))
+    appendEvents(Cache.apply(push.Page, Faults), out);
+  bool agrees =
+      push.Page.At == Cache.position() && push.Digest == Cache.digest();
+  Unconfirmed = Unconfirmed && !agrees;
+  if (!late && !Unconfirmed)
+    markCurrent(now - push.Age, out);
+  if (!late && confirmsCache(push))
     State = Phase::Watching;
-  if (push.Page.At == Copy.position())
-    compare(push.Digest != Copy.digest(), now);
+  if (push.Page.At == Cache.position())
+    trackDifference(push.Digest != Cache.digest(), now);
   return false;
 }
 
@@ -54,15 +55,15 @@
 /// listed during changes has some changes beyond its position, and differs
 /// until the next push. Taking that for a missed change would lead from each
 /// list to further lists while hundreds of servers register.
-void NewsReader::compare(bool differs, Time now) {
+void RegistryWatcher::trackDifference(bool differs, Time now) {
   if (!differs) {
     DiffersSince.reset();
     return;
   }
   if (!DiffersSince)
     DiffersSince = now;
-  if (now - *DiffersSince < MaxDiffersIntervals * Times.Pace || Waiting ||
-      State != Phase::Watching || now - LastList < Times.RelistLeast)
+  if (now - *DiffersSince < MaxDiffersIntervals * Times.PollInterval ||
+      Waiting || State != Phase::Watching || now - LastList < Times.RelistMin)
     return;
   DiffersSince.reset();
   startList(std::max(DueAt, now));
@@ -70,18 +71,18 @@
 
 /// Returns whether both the push and this copy lack changes before the push's
 /// position, so that they have to be read.
-bool NewsReader::mustRead(const NewsPush &push) const {
-  return push.Page.At > Copy.position() &&
-         (!push.Complete || push.Base > Copy.position());
+bool RegistryWatcher::mustPull(const UpdatePush &push) const {
+  return push.Page.At > Cache.position() &&
+         (!push.Complete || push.Base > Cache.position());
 }
 
 /// Returns whether a full copy from the sender can replace the first list. When
 /// all instances start at once, each list takes megabytes on the registry's
 /// link and a call for each page. Without this, that link is saturated for half
 /// a minute, and `registry_calls` has as many lists as there are pages.
-bool NewsReader::replacesFirstList(const NewsPush &push) const {
-  return firstListIsAhead() && push.Age < Times.AwayAfter &&
-         push.Page.At.Generation == Told;
+bool RegistryWatcher::replacesFirstList(const UpdatePush &push) const {
+  return firstListIsPending() && push.Age < Times.StaleAfter &&
+         push.Page.At.Generation == LatestGeneration;
 }
 
 /// Returns whether a push makes a due list unnecessary. The list is due because
@@ -90,54 +91,55 @@
 /// Without this, hundreds of instances list at once when the registry is back
 /// after an outage: `registry_calls` has lists of every instance, and the
 /// registry's link is saturated.
-bool NewsReader::settles(const NewsPush &push) const {
+bool RegistryWatcher::confirmsCache(const UpdatePush &push) const {
   bool due = State == Phase::Listing && Complete && !Waiting && After.empty();
-  return due && push.Age < Times.AwayAfter && settled() &&
-         push.Page.At == Copy.position() && push.Digest == Copy.digest();
+  return due && push.Age < Times.StaleAfter && generationIsCurrent() &&
+         push.Page.At == Cache.position() && push.Digest == Cache.digest();
 }
 
-void NewsReader::takePull(const ItemPage &page, bool whole, Time now,
-                          std::vector<token::Event> &out) {
+void RegistryWatcher::applyPull(const ItemPage &page, bool whole, Time now,
+                                std::vector<token::Event> &out) {
   ++Stats.Pulls;
   Stats.WholePulls += whole ? 1 : 0;
-  std::optional<Announced> told = std::exchange(Announcement, std::nullopt);
+  std::optional<PendingPull> pull = std::exchange(Pull, std::nullopt);
   // A list that has started in the meantime continues.
-  if (!Complete && !firstListIsAhead())
+  if (!Complete && !firstListIsPending())
     return;
   if (whole) {
-    Unproven = false;
-    takeWhole(page, now, out);
+    Unconfirmed = false;
+    replaceCache(page, now, out);
   } else {
-    tell(Copy.apply(page, Faults), out);
+    appendEvents(Cache.apply(page, Faults), out);
   }
   if (!Complete)
     beginWatching(now, out);
-  bool holdsAll = told && Copy.position() >= told->To &&
-                  Copy.position().Generation == told->To.Generation &&
-                  !Unproven;
+  bool holdsAll = pull && Cache.position() >= pull->To &&
+                  Cache.position().Generation == pull->To.Generation &&
+                  !Unconfirmed;
   if (holdsAll)
-    showCurrent(told->AsOf, out);
+    markCurrent(pull->AsOf, out);
 }
 
-void NewsReader::takeSeed(const ItemPage &page,
-                          std::vector<token::Event> &out) {
-  if (Complete || page.At <= Copy.position())
+void RegistryWatcher::applySeed(const ItemPage &page,
+                                std::vector<token::Event> &out) {
+  if (Complete || page.At <= Cache.position())
     return;
-  tell(Copy.replaceAll(page, Faults), out);
+  appendEvents(Cache.replaceAll(page, Faults), out);
   if (!std::exchange(Seeded, true))
     out.emplace_back(token::BackendsComplete{});
 }
 
-NewsPush NewsReader::push(InstanceId self, Position since, Time now) const {
-  NewsPush out{.Sender = self,
-               .Age = std::min(now - CurrentAt, MaxPushAge),
-               .Base = since,
-               .Digest = Copy.digest()};
-  if (auto page = Copy.since(since))
+UpdatePush RegistryWatcher::makePush(InstanceId self, Position since,
+                                     Time now) const {
+  UpdatePush out{.Sender = self,
+                 .Age = std::min(now - CurrentAt, MaxPushAge),
+                 .Base = since,
+                 .Digest = Cache.digest()};
+  if (auto page = Cache.changesSince(since))
     out.Page = std::move(*page);
   else
     out.Complete = false;
-  out.Page.At = Copy.position();
+  out.Page.At = Cache.position();
   return out;
 }
 
--- a/lib/edge/RegistryClient.h
+++ b/lib/edge/RegistryClient.h
@@ -5,7 +5,7 @@
 
 #include "Http.h"
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include <array>
 
@@ -47,13 +47,13 @@
 };
 
 /// Converts a result to the form that the registry state machines take.
-inline NewsAnswer toRegistryAnswer(const HttpClient::Result &result,
-                                   const RegistryDialect &dialect) {
+inline RegistryAnswer toRegistryAnswer(const HttpClient::Result &result,
+                                       const RegistryDialect &dialect) {
   if (!result)
     return {};
   return {.Status = result->Status,
           .Body = result->Body,
-          .Generation = dialect.readGeneration(result->CapturedHeader)};
+          .Generation = dialect.parseGeneration(result->CapturedHeader)};
 }
 
 } // namespace chicory::edge
--- a/lib/edge/RegistrySync.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -29,15 +29,15 @@
       Watcher(dialect, settings.Watcher, settings.Core.Seed, settings.Zone),
       Tree({.Self = InstanceId{settings.Ip},
             .Zone = settings.Zone,
-            .Pace = settings.Watcher.Pace,
+            .PollInterval = settings.Watcher.PollInterval,
             .ApplyWithin = settings.Core.ApplyWithin,
-            .RetryMost = settings.Watcher.RetryMost,
+            .RetryMax = settings.Watcher.RetryMax,
             .Seed = settings.Core.Seed}),
-      Writer(loop, log, settings, dialect, Watcher.mirror()),
+      Writer(loop, log, settings, dialect, Watcher.cache()),
       Registry(loop, settings.Ip, settings.Registry, dialect),
-      Pages(loop, settings.Ip, Watcher.mirror()),
+      Pages(loop, settings.Ip, Watcher.cache()),
       Peers(InstanceId{settings.Ip}, settings.Zone) {
-  Watcher.setPatience(Tree.patience(), Tree.retryMost());
+  Watcher.setStalenessLimit(Tree.stalenessLimit(), Tree.retryMax());
   Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { receiveMessages(); });
 }
 
@@ -47,22 +47,22 @@
   forwardPending();
   shareUnreachableBackends(now);
   updateRouteHistory(now);
-  Watcher.heard(Writer.takeNewGeneration(), now);
-  if (Watcher.told())
-    Writer.learnGeneration(Watcher.told());
+  Watcher.observeGeneration(Writer.takeNewGeneration(), now);
+  if (Watcher.latestGeneration())
+    Writer.learnGeneration(Watcher.latestGeneration());
   if (!Leaving) {
     callRegistry(now);
     updateStaleness(now);
   }
   if (Watcher.started())
-    Writer.run(mayWriteShared(), Tree.patience(), now);
+    Writer.run(mayWriteShared(), Tree.stalenessLimit(), now);
   sendGossip(now);
 }
 
 Time RegistrySync::nextAt() const {
   Time out = std::min(Registry.deadline(), Pages.deadline());
   if (Watcher.started())
-    out = std::min(out, Writer.nextAt(mayWriteShared(), Tree.patience()));
+    out = std::min(out, Writer.nextAt(mayWriteShared(), Tree.stalenessLimit()));
   if (mayGossip())
     out = std::min(out, Peers.nextAt(Stale));
   if (!Leaving && !Registry.busy())
@@ -73,7 +73,7 @@
 void RegistrySync::callRegistry(Time now) {
   if (Registry.busy())
     return;
-  std::optional<NewsCall> call = Watcher.next(now);
+  std::optional<TimedCall> call = Watcher.next(now);
   if (!call)
     return;
   CallKind kind = call->Call.Kind;
@@ -114,13 +114,13 @@
 void RegistrySync::updateRouteHistory(Time now) {
   if (!std::exchange(RoutesChanged, false))
     return;
-  Writer.learnRoutes(Watcher.mirror().routes(), Watcher.routeRecords(), now);
+  Writer.learnRoutes(Watcher.cache().routes(), Watcher.routeHistory(), now);
 }
 
 void RegistrySync::handleResponse(const HttpClient::Result &result) {
   Time now = steadyNow();
   std::vector<token::Event> updates;
-  Position before = Watcher.mirror().position();
+  Position before = Watcher.cache().position();
   bool learned =
       Watcher.answered(toRegistryAnswer(result, Dialect), now, updates);
   logRestore(before, InstanceId{});
@@ -135,7 +135,7 @@
     return;
   // The first list is the starting point, not a change to push.
   if (PushedPosition == Position{})
-    PushedPosition = Watcher.mirror().position();
+    PushedPosition = Watcher.cache().position();
   sendPush(true, now);
 }
 
@@ -143,7 +143,7 @@
 /// registry has lost the changes in between; `held` of those items are retained
 /// here until they are written again.
 void RegistrySync::logRestore(const Position &before, InstanceId from) {
-  Position after = Watcher.mirror().position();
+  Position after = Watcher.cache().position();
   if (before == Position{} || before.Generation == after.Generation)
     return;
   Logger.write(
@@ -153,7 +153,7 @@
           .with("former", static_cast<int64_t>(before.Generation.Value))
           .with("copy_revision", before.Revision)
           .with("revision", after.Revision)
-          .with("held", static_cast<int64_t>(Watcher.mirror().heldCount())));
+          .with("held", static_cast<int64_t>(Watcher.cache().retainedCount())));
 }
 
 void RegistrySync::applyUpdates(std::vector<token::Event> updates,
@@ -172,12 +172,13 @@
   Findings findings = Watcher.takeFindings();
   for (const Finding &it : findings.items())
     Logger.write(LogLine("bad_item").with("finding", it.text()));
-  if (Watcher.peers() != Peers.known())
+  if (Watcher.peers() != Peers.registered())
     updatePeers(now);
-  auto own = Peers.known().find(InstanceId{Settings.Ip});
-  Writer.learnOwnRecord(own == Peers.known().end() ? nullptr : &own->second,
+  auto own = Peers.registered().find(InstanceId{Settings.Ip});
+  Writer.learnOwnRecord(own == Peers.registered().end() ? nullptr
+                                                        : &own->second,
                         Watcher.currentAt());
-  Writer.learnDirectory(Watcher.directoryNote(), now);
+  Writer.learnDirectory(Watcher.directorySummary(), now);
 }
 
 /// Logs a zone drain as it is learned. `from` is the registry or the instance
@@ -187,20 +188,20 @@
   Logger.write(LogLine("zone_drain_learned")
                    .with("zone", drain.Zone)
                    .with("active", drain.Active ? 1 : 0)
-                   .with("revision", Watcher.mirror().position().Revision)
+                   .with("revision", Watcher.cache().position().Revision)
                    .with("from", sourceName(from)));
 }
 
 void RegistrySync::updatePeers(Time now) {
   Peers.learn(Watcher.peers(), now);
   token::InstancesLearned instances;
-  for (const auto &[id, peer] : Peers.known())
+  for (const auto &[id, peer] : Peers.registered())
     if (!peer.Leaving)
       instances.Instances.push_back({.Id = id, .Zone = peer.Zone});
   Pending.emplace_back(std::move(instances));
   forwardPending();
-  Tree.learn(Peers.placed(now));
-  Watcher.setPatience(Tree.patience(), Tree.retryMost());
+  Tree.learn(Peers.treeMembers(now));
+  Watcher.setStalenessLimit(Tree.stalenessLimit(), Tree.retryMax());
 }
 
 void RegistrySync::forwardPending() {
@@ -221,9 +222,9 @@
     auto message = decodeDatagram({buf.data(), static_cast<size_t>(size)});
     if (!message)
       ++Traffic.Malformed;
-    else if (auto *push = std::get_if<NewsPush>(&*message))
+    else if (auto *push = std::get_if<UpdatePush>(&*message))
       handlePush(*push, now);
-    else if (auto *report = std::get_if<Doubt>(&*message))
+    else if (auto *report = std::get_if<UnreachableReport>(&*message))
       handleUnreachableReport(*report, now);
     else
       handleFragment(std::move(std::get<Fragment>(*message)), now);
@@ -231,7 +232,7 @@
 }
 
 void RegistrySync::handleFragment(Fragment fragment, Time now) {
-  std::optional<std::string> bytes = Fragments.take(std::move(fragment));
+  std::optional<std::string> bytes = Fragments.add(std::move(fragment));
   if (!bytes)
     return;
   auto push = decodeFragments(*bytes);
@@ -247,39 +248,41 @@
 void RegistrySync::shareUnreachableBackends(Time now) {
   token::BackendId id;
   while (State.UnreachableBackends.try_dequeue(id))
-    if (ReportFilter.isNew(id, now))
+    if (ReportFilter.shouldForward(id, now))
       sendUnreachableReport(id, true);
 }
 
-void RegistrySync::handleUnreachableReport(const Doubt &report, Time now) {
+void RegistrySync::handleUnreachableReport(const UnreachableReport &report,
+                                           Time now) {
   ++Traffic.UnreachableReports;
-  if (!ReportFilter.isNew(report.Backend, now))
+  if (!ReportFilter.shouldForward(report.Backend, now))
     return;
-  Pending.emplace_back(token::BackendDoubted{report.Backend});
+  Pending.emplace_back(token::BackendReportedUnreachable{report.Backend});
   forwardPending();
   sendUnreachableReport(report.Backend, false);
 }
 
 void RegistrySync::sendUnreachableReport(token::BackendId id, bool own) {
-  std::string bytes =
-      encodeDoubt({.Sender = InstanceId{Settings.Ip}, .Backend = id});
+  std::string bytes = encodeUnreachableReport(
+      {.Sender = InstanceId{Settings.Ip}, .Backend = id});
   for (Address it : Tree.targets(own))
     send(bytes, it);
 }
 
-void RegistrySync::handlePush(const NewsPush &push, Time now) {
+void RegistrySync::handlePush(const UpdatePush &push, Time now) {
   if (Watcher.needsSeed(push))
     return pullStartupCopy(push.Sender);
   Time before = Watcher.currentAt();
   std::vector<token::Event> updates;
-  bool behind = Watcher.takePush(push, now < StalePushesUntil, now, updates);
+  bool behind = Watcher.applyPush(push, now < StalePushesUntil, now, updates);
   applyUpdates(std::move(updates), push.Sender, now);
   if (behind)
     return pullUpdates(push.Sender, !Watcher.complete());
   // Passes on only what is newer than the last push by half a poll interval or
   // has further changes; less is not worth a datagram to each peer.
-  bool newer = Watcher.currentAt() - PushedAsOf >= Settings.Watcher.Pace / 2 ||
-               Watcher.mirror().position() > PushedPosition;
+  bool newer =
+      Watcher.currentAt() - PushedAsOf >= Settings.Watcher.PollInterval / 2 ||
+      Watcher.cache().position() > PushedPosition;
   if (Watcher.currentAt() > before && newer)
     sendPush(false, now);
 }
@@ -288,8 +291,9 @@
   if (!Watcher.mayPassOn())
     return;
   std::vector<Address> targets = Tree.targets(fromRegistry);
-  NewsPush push = Watcher.push(InstanceId{Settings.Ip}, PushedPosition, now);
-  PushedPosition = Watcher.mirror().position();
+  UpdatePush push =
+      Watcher.makePush(InstanceId{Settings.Ip}, PushedPosition, now);
+  PushedPosition = Watcher.cache().position();
   PushedAsOf = Watcher.currentAt();
   if (targets.empty())
     return;
@@ -313,7 +317,7 @@
     return;
   std::optional<Position> since;
   if (!whole)
-    since = Watcher.mirror().position();
+    since = Watcher.cache().position();
   Pages.read(from, addressOf(from), since,
              [this](const PageResult &page) { handlePulledPage(page); });
 }
@@ -321,31 +325,31 @@
 /// Returns where to reach an instance. All instances use the same port, so an
 /// instance without a record is reachable too.
 Address RegistrySync::addressOf(InstanceId id) const {
-  auto it = Peers.known().find(id);
-  return it == Peers.known().end()
+  auto it = Peers.registered().find(id);
+  return it == Peers.registered().end()
              ? Address{.Ip = id.Value, .Port = Settings.Peers.Port}
-             : it->second.Peers;
+             : it->second.PeerAddress;
 }
 
 void RegistrySync::sendGossip(Time now) {
   if (!mayGossip())
     return;
-  std::vector<Address> targets = Peers.due(Stale, now);
+  std::vector<Address> targets = Peers.dueRegistered(Stale, now);
   std::vector<Address> former = Peers.dueFormer(Stale, now);
   targets.insert(targets.end(), former.begin(), former.end());
   if (targets.empty())
     return;
   // The push has no changes. A peer that is behind its position pulls from
   // here.
-  NewsPush push =
-      Watcher.push(InstanceId{Settings.Ip}, Watcher.mirror().position(), now);
+  UpdatePush push = Watcher.makePush(InstanceId{Settings.Ip},
+                                     Watcher.cache().position(), now);
   std::string bytes = encodePush(push);
   for (Address it : targets)
     send(bytes, it);
 }
 
 bool RegistrySync::mayGossip() const {
-  return Settings.Core.Use.Reminders && Watcher.knowsAll() &&
+  return Settings.Core.Enabled.OutageGossip && Watcher.hasAllItems() &&
          Watcher.mayPassOn();
 }
 
@@ -362,7 +366,7 @@
   if (!read.Page)
     return Logger.write(line.with("why", read.Error));
   std::vector<token::Event> updates;
-  Watcher.takeSeed(*read.Page, updates);
+  Watcher.applySeed(*read.Page, updates);
   Logger.write(line.with("revision", read.Page->At.Revision));
   applyUpdates(std::move(updates), read.Peer, steadyNow());
 }
@@ -378,8 +382,8 @@
   }
   Time now = steadyNow();
   std::vector<token::Event> updates;
-  Position before = Watcher.mirror().position();
-  Watcher.takePull(*read.Page, read.Full, now, updates);
+  Position before = Watcher.cache().position();
+  Watcher.applyPull(*read.Page, read.Full, now, updates);
   logRestore(before, read.Peer);
   applyUpdates(std::move(updates), read.Peer, now);
   sendPush(false, now);
@@ -389,16 +393,16 @@
   // Enough time to read the datagrams that wait in the socket.
   constexpr Duration ReadTime = std::chrono::milliseconds(100);
   StalePushesUntil = now + ReadTime;
-  Watcher.doubtAll(now);
+  Watcher.revalidate(now);
 }
 
 void RegistrySync::updateStaleness(Time now) {
-  bool stale = Watcher.knowsAll() && Watcher.away(now);
+  bool stale = Watcher.hasAllItems() && Watcher.isStale(now);
   if (stale == Stale)
     return;
   Stale = stale;
   Logger.write(LogLine(stale ? "news_stale" : "news_current")
-                   .with("revision", Watcher.mirror().position().Revision));
+                   .with("revision", Watcher.cache().position().Revision));
 }
 
 void RegistrySync::updateBounds(const token::BoundsChanged &bounds) {
--- a/lib/edge/RegistrySync.h
+++ b/lib/edge/RegistrySync.h
@@ -11,11 +11,11 @@
 #include "RegistryWriter.h"
 #include "SharedState.h"
 
-#include "chicorybank/edge/DoubtLog.h"
 #include "chicorybank/edge/FragmentAssembler.h"
-#include "chicorybank/edge/NewsSpread.h"
-#include "chicorybank/edge/Reminders.h"
+#include "chicorybank/edge/OutageGossip.h"
+#include "chicorybank/edge/PropagationTree.h"
 #include "chicorybank/edge/Settings.h"
+#include "chicorybank/edge/UnreachableReportFilter.h"
 
 #include <deque>
 
@@ -51,8 +51,8 @@
   /// Marks this instance as leaving, so that others remove it from their order
   /// of instances.
   void leave();
-  const NewsStats &stats() const { return Watcher.stats(); }
-  const NewsReader &watcher() const { return Watcher; }
+  const WatcherStats &stats() const { return Watcher.stats(); }
+  const RegistryWatcher &watcher() const { return Watcher; }
   /// Returns the counts of all calls to the registry, by kind.
   RegistryCallCounts callCounts() const;
   const PeerMessageStats &peerStats() const { return Traffic; }
@@ -67,9 +67,9 @@
   void handleResponse(const HttpClient::Result &result);
   void logRestore(const Position &before, InstanceId from);
   void receiveMessages();
-  void handlePush(const NewsPush &push, Time now);
+  void handlePush(const UpdatePush &push, Time now);
   void handleFragment(Fragment fragment, Time now);
-  void handleUnreachableReport(const Doubt &report, Time now);
+  void handleUnreachableReport(const UnreachableReport &report, Time now);
   void shareUnreachableBackends(Time now);
   void sendUnreachableReport(token::BackendId id, bool own);
   void pullUpdates(InstanceId from, bool whole);
@@ -82,7 +82,7 @@
   /// item that is missing here is missing in the registry, and the registry
   /// answers, so calls are not wasted.
   bool mayWriteShared() const {
-    return Watcher.complete() && !Stale && Watcher.settled();
+    return Watcher.complete() && !Stale && Watcher.generationIsCurrent();
   }
   void updatePeers(Time now);
   void handlePulledPage(const PageResult &read);
@@ -103,15 +103,15 @@
   SharedState &State;
   EventLoop &Events;
   FileDescriptor Socket;
-  NewsReader Watcher;
-  NewsSpread Tree;
+  RegistryWatcher Watcher;
+  PropagationTree Tree;
   RegistryWriter Writer;
   RegistryClient Registry;
   Time StartedAt = steadyNow();
   PeerPages Pages;
   std::deque<token::Event> Pending;
   /// The registered instances, and former ones that may be back.
-  Reminders Peers;
+  OutageGossip Peers;
   /// The position up to which the last push had all changes.
   Position PushedPosition;
   /// The time as of which the last push was current.
@@ -127,7 +127,7 @@
   bool Leaving = false;
   PeerMessageStats Traffic;
   FragmentAssembler Fragments;
-  DoubtLog ReportFilter;
+  UnreachableReportFilter ReportFilter;
   uint64_t MessagesSent = 0;
 };
 
--- a/lib/edge/RegistryWriter.cpp
+++ b/lib/edge/RegistryWriter.cpp
@@ -16,12 +16,13 @@
 RegistryWriter::RegistryWriter(EventLoop &loop, Log &log,
                                const EdgeSettings &settings,
                                const RegistryDialect &dialect,
-                               const Mirror &cache)
-    : Logger(log), Settings(settings), Registrar(dialect,
-                                                 {.Id = InstanceId{settings.Ip},
-                                                  .Zone = settings.Zone,
-                                                  .Peers = settings.Peers},
-                                                 {}),
+                               const RegistryCache &cache)
+    : Logger(log), Settings(settings),
+      Registrar(dialect,
+                {.Id = InstanceId{settings.Ip},
+                 .Zone = settings.Zone,
+                 .PeerAddress = settings.Peers},
+                {}),
       HistoryWriter(dialect), Cache(cache), Directory(dialect),
       Dialect(dialect), Client(loop, settings.Ip, settings.Registry, dialect) {}
 
@@ -36,7 +37,7 @@
     return writeOwnRecord(std::move(*call));
   if (!mayWriteShared)
     return;
-  if (Settings.Core.Use.RouteRecord)
+  if (Settings.Core.Enabled.RouteHistory)
     if (auto call = HistoryWriter.next(stalenessLimit, now))
       return writeRouteHistory(std::move(*call));
   if (auto call = Directory.next(Cache, stalenessLimit, now))
@@ -52,7 +53,7 @@
   Time out = Registrar.nextAt();
   if (!mayWriteShared)
     return out;
-  if (Settings.Core.Use.RouteRecord)
+  if (Settings.Core.Enabled.RouteHistory)
     out = std::min(out, HistoryWriter.nextAt(stalenessLimit));
   return std::min(out, Directory.nextAt(stalenessLimit));
 }
@@ -60,7 +61,7 @@
 void RegistryWriter::writeOwnRecord(RegistryCall call) {
   Client.call(std::move(call), CallTimeout,
               [this](const HttpClient::Result &it) {
-                NewsAnswer answer = toRegistryAnswer(it, Dialect);
+                RegistryAnswer answer = toRegistryAnswer(it, Dialect);
                 Registrar.answered(answer, steadyNow());
                 updateGeneration(answer);
               });
@@ -69,7 +70,7 @@
 void RegistryWriter::writeRouteHistory(RegistryCall call) {
   Client.call(
       std::move(call), CallTimeout, [this](const HttpClient::Result &it) {
-        NewsAnswer answer = toRegistryAnswer(it, Dialect);
+        RegistryAnswer answer = toRegistryAnswer(it, Dialect);
         HistoryWriter.answered(answer, steadyNow());
         updateGeneration(answer);
         Logger.write(LogLine("routes_recorded").with("status", answer.Status));
@@ -79,7 +80,7 @@
 void RegistryWriter::writeDirectory(RegistryCall call) {
   Client.call(std::move(call), CallTimeout,
               [this](const HttpClient::Result &it) {
-                NewsAnswer answer = toRegistryAnswer(it, Dialect);
+                RegistryAnswer answer = toRegistryAnswer(it, Dialect);
                 Directory.answered(answer, steadyNow());
                 updateGeneration(answer);
                 Logger.write(
@@ -88,13 +89,13 @@
 }
 
 void RegistryWriter::learnRoutes(const token::RouteSet *routes,
-                                 const RouteRecords &stored, Time now) {
+                                 const RouteHistoryParts &stored, Time now) {
   if (routes)
     HistoryWriter.learn(*routes, now);
   HistoryWriter.learn(stored, Settings.Core.MaxFlowAge, now);
 }
 
-void RegistryWriter::updateGeneration(const NewsAnswer &answer) {
+void RegistryWriter::updateGeneration(const RegistryAnswer &answer) {
   if (answer.Generation <= KnownGeneration)
     return;
   NewGeneration = answer.Generation;
@@ -116,7 +117,7 @@
   if (!LeaveFailed)
     return;
   auto failed = std::exchange(LeaveFailed, nullptr);
-  std::optional<RegistryCall> call = Registrar.end();
+  std::optional<RegistryCall> call = Registrar.leave();
   if (!call)
     return;
   Client.call(std::move(*call), CallTimeout,
--- a/lib/edge/RegistryWriter.h
+++ b/lib/edge/RegistryWriter.h
@@ -8,9 +8,9 @@
 #include "Log.h"
 #include "RegistryClient.h"
 
-#include "chicorybank/edge/Announcer.h"
 #include "chicorybank/edge/DirectoryWriter.h"
-#include "chicorybank/edge/RouteRecorder.h"
+#include "chicorybank/edge/InstanceRegistrar.h"
+#include "chicorybank/edge/RouteHistoryWriter.h"
 #include "chicorybank/edge/Settings.h"
 
 #include <utility>
@@ -21,7 +21,7 @@
 class RegistryWriter {
 public:
   RegistryWriter(EventLoop &loop, Log &log, const EdgeSettings &settings,
-                 const RegistryDialect &dialect, const Mirror &cache);
+                 const RegistryDialect &dialect, const RegistryCache &cache);
 
   /// Ends the call if its timeout has passed, and starts the next one that is
   /// due. Serving has priority: call it only once packets can be forwarded.
@@ -33,14 +33,14 @@
   Time nextAt(bool mayWriteShared, Duration stalenessLimit) const;
 
   /// Takes the routes and their stored history as last read.
-  void learnRoutes(const token::RouteSet *routes, const RouteRecords &stored,
-                   Time now);
+  void learnRoutes(const token::RouteSet *routes,
+                   const RouteHistoryParts &stored, Time now);
   /// Takes this instance's record in the registry cache, or null if it is
   /// absent. `asOf`: the time as of which the cache is current.
   void learnOwnRecord(const PeerRecord *own, Time asOf) {
-    Registrar.seen(own, asOf);
+    Registrar.checkRecord(own, asOf);
   }
-  void learnDirectory(const DirectoryNote &stored, Time now) {
+  void learnDirectory(const DirectorySummary &stored, Time now) {
     Directory.learn(Cache, stored, now);
   }
   /// Marks this instance as leaving in its record, which is the last write.
@@ -60,13 +60,13 @@
   void writeRouteHistory(RegistryCall call);
   void writeDirectory(RegistryCall call);
   void writeLeaving();
-  void updateGeneration(const NewsAnswer &answer);
+  void updateGeneration(const RegistryAnswer &answer);
 
   Log &Logger;
   const EdgeSettings &Settings;
-  Announcer Registrar;
-  RouteRecorder HistoryWriter;
-  const Mirror &Cache;
+  InstanceRegistrar Registrar;
+  RouteHistoryWriter HistoryWriter;
+  const RegistryCache &Cache;
   DirectoryWriter Directory;
   const RegistryDialect &Dialect;
   std::optional<Generation> KnownGeneration;
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -74,7 +74,8 @@
   applyChange("times.max_flow_age", inUse.Core.MaxFlowAge,
               fresh.Core.MaxFlowAge, out.Applied);
   applyChange("times.grace", inUse.Grace, fresh.Grace, out.Applied);
-  noteChange("mechanisms", inUse.Core.Use, fresh.Core.Use, out.AfterRestart);
+  noteChange("mechanisms", inUse.Core.Enabled, fresh.Core.Enabled,
+             out.AfterRestart);
   inUse.StopDelay = fresh.StopDelay;
   return out;
 }
@@ -82,7 +83,7 @@
 std::vector<std::string> disabledMechanisms(const EdgeSettings &settings) {
   std::vector<std::string> out;
   for (const token::MechanismName &it : token::MechanismNames)
-    if (!(settings.Core.Use.*it.Switch))
+    if (!(settings.Core.Enabled.*it.Switch))
       out.emplace_back(it.Key);
   return out;
 }
@@ -124,17 +125,17 @@
 
     Section mechanisms(top, "mechanisms", file, findings);
     for (const token::MechanismName &it : token::MechanismNames)
-      out.Core.Use.*it.Switch = mechanisms->flag(it.Key, true);
+      out.Core.Enabled.*it.Switch = mechanisms->flag(it.Key, true);
     top.finish();
   }
   out.Core.Zone = out.Zone;
   out.Core.Self = InstanceId{out.Ip};
   out.Core.Seed = hashBytes(out.Name);
-  out.Core.Servers.RememberGone = out.Core.MaxFlowAge;
-  out.Watcher.Pace = std::clamp<Duration>(out.Core.ApplyWithin / PollsPerApply,
-                                          PollIntervalMin, PollIntervalMax);
-  out.Core.NewsGap =
-      std::chrono::duration_cast<Duration>(out.Watcher.Pace * PollsInGap);
+  out.Core.Servers.GoneRetention = out.Core.MaxFlowAge;
+  out.Watcher.PollInterval = std::clamp<Duration>(
+      out.Core.ApplyWithin / PollsPerApply, PollIntervalMin, PollIntervalMax);
+  out.Core.UpdateGap = std::chrono::duration_cast<Duration>(
+      out.Watcher.PollInterval * PollsInGap);
   if (out.Grace > 2 * GraceReserve)
     out.StopDelay = std::min(out.StopDelay, out.Grace - GraceReserve);
   else
--- /dev/null
+++ b/lib/edge/StartupReads.cpp
@@ -0,0 +1,152 @@
+#include "chicorybank/edge/StartupReads.h"
+
+#include "chicorybank/edge/Directory.h"
+
+#include <algorithm>
+
+namespace chicory::edge {
+
+RegistryCall StartupReads::call() const {
+  switch (State) {
+  case Step::OperatorSettings:
+    return Dialect.readOperatorSettings(
+        OperatorSettings.Items.empty() ? std::string()
+                                       : OperatorSettings.Items.back().Key);
+  case Step::Directory:
+    return Dialect.readDirectory(Zone);
+  case Step::OtherDirectories:
+    return Dialect.readDirectories(LastPart);
+  case Step::RouteHistory:
+  case Step::Done:
+    break;
+  }
+  return Dialect.readRouteHistory();
+}
+
+tl::expected<void, std::string>
+StartupReads::handleAnswer(const std::string &body, Generation generation,
+                           RegistryCache &copy, Findings &findings,
+                           std::vector<Change> &out) {
+  switch (State) {
+  case Step::Directory: {
+    auto taken = takeDirectory(body, out);
+    State = Named.empty() ? Step::Done : Step::OperatorSettings;
+    return taken;
+  }
+  case Step::OperatorSettings:
+    return applyOperatorSettings(body, generation, copy, findings, out);
+  case Step::RouteHistory:
+    return takeRouteHistory(body, generation, copy, findings, out);
+  case Step::OtherDirectories:
+    return takeOtherDirectories(body, out);
+  case Step::Done:
+    break;
+  }
+  return {};
+}
+
+tl::expected<void, std::string>
+StartupReads::takeRouteHistory(const std::string &body, Generation generation,
+                               RegistryCache &copy, Findings &findings,
+                               std::vector<Change> &out) {
+  State = Step::OtherDirectories;
+  auto page = Dialect.parsePage(body);
+  if (!page)
+    return tl::make_unexpected(page.error());
+  page->setGeneration(generation);
+  page->markMayBeStale();
+  out = copy.applyPartial(*page, findings);
+  return {};
+}
+
+tl::expected<void, std::string> StartupReads::applyOperatorSettings(
+    const std::string &body, Generation generation, RegistryCache &copy,
+    Findings &findings, std::vector<Change> &out) {
+  State = Step::RouteHistory;
+  if (body.empty())
+    return {};
+  auto page = Dialect.parsePage(body);
+  if (!page)
+    return tl::make_unexpected(page.error());
+  page->setGeneration(generation);
+  if (!OperatorSettings.Items.empty() &&
+      OperatorSettings.At.Generation != generation) {
+    // Pages of two generations are no whole.
+    OperatorSettings = {};
+    State = Step::OperatorSettings;
+    return {};
+  }
+  if (OperatorSettings.Items.empty())
+    OperatorSettings.At = page->At;
+  OperatorSettings.Items.insert(OperatorSettings.Items.end(),
+                                page->Items.begin(), page->Items.end());
+  if (page->More && !page->Items.empty()) {
+    State = Step::OperatorSettings;
+    return {};
+  }
+  out = copy.applyOperatorSettings(OperatorSettings, findings);
+  return {};
+}
+
+/// The servers become changes without an item: the copy holds only what the
+/// registry has told.
+tl::expected<void, std::string>
+StartupReads::takeDirectory(const std::string &body, std::vector<Change> &out) {
+  if (body.empty())
+    return {};
+  auto item = Dialect.parseItem(body);
+  if (!item)
+    return tl::make_unexpected(item.error());
+  return addServers(*item, out);
+}
+
+/// A part that can't be read leaves the others as they are.
+tl::expected<void, std::string>
+StartupReads::takeOtherDirectories(const std::string &body,
+                                   std::vector<Change> &out) {
+  State = Step::Done;
+  auto page = Dialect.parsePage(body);
+  if (!page)
+    return tl::make_unexpected(page.error());
+  tl::expected<void, std::string> taken;
+  for (const Item &it : page->Items) {
+    LastPart = it.Key;
+    if (auto one = addServers(it, out); !one)
+      taken = one;
+  }
+  if (page->More && !page->Items.empty())
+    State = Step::OtherDirectories;
+  return taken;
+}
+
+tl::expected<void, std::string>
+StartupReads::addServers(const Item &part, std::vector<Change> &out) {
+  auto directory = decodeDirectory(part.Value);
+  if (!directory)
+    return tl::make_unexpected(std::string(reasonName(directory.error())));
+  Instances = std::max(Instances, directory->Instances);
+  for (token::Registration &it : directory->Servers)
+    if (Named.insert(it.Id).second)
+      out.push_back({.Source = {}, .Content = std::move(it)});
+  return {};
+}
+
+double StartupReads::earlyListShare() const {
+  return static_cast<double>(EarlyLists) /
+         static_cast<double>(std::max(Instances, EarlyLists));
+}
+
+Duration StartupReads::callDelayMax() const {
+  if (State != Step::OtherDirectories || !LastPart.empty())
+    return Duration::zero();
+  auto pairs = static_cast<int64_t>(Instances * Named.size());
+  return std::min<Duration>(ListDelayMax, std::chrono::duration_cast<Duration>(
+                                              OtherPartsDelayPerPair * pairs));
+}
+
+Duration StartupReads::listDelayMax() const {
+  return std::min(ListDelayMax,
+                  ListDelayPerServer * static_cast<int64_t>(Named.size()));
+}
+
+} // namespace chicory::edge
--- a/tests/EdgeSettingsTest.cpp
+++ b/tests/EdgeSettingsTest.cpp
@@ -91,7 +91,7 @@
     expectTrue(disabledMechanisms(*without) ==
                    std::vector<std::string>{"probes"},
                "only this mechanism is disabled");
-    expectTrue(!without->Core.Use.Probes && without->Core.Use.Suspicion,
+    expectTrue(!without->Core.Enabled.Probes && without->Core.Enabled.Suspicion,
                "the core's options agree");
     std::string text =
         findingsOf(Good + "[mechanisms]\nprobing = false\nprobes = 1\n");
@@ -105,7 +105,8 @@
     expectEqual<std::string>("", findings.text());
     expectEqual<std::string>("gikondo", settings->Core.Zone);
     expectEqual<uint16_t>(7720, settings->Peers.Port);
-    expectTrue(settings->Watcher.Pace == 500ms, "a sixth of the time to apply");
+    expectTrue(settings->Watcher.PollInterval == 500ms,
+               "a sixth of the time to apply");
     expectTrue(settings->StopDelay == 2500ms, "the routers stop sending first");
   }
 
@@ -125,11 +126,11 @@
     // A gap must be detected before registrations that expired in it count as
     // ended, so it is at most one and a half poll intervals.
     auto usual = read(Good, findings);
-    expectTrue(usual->Core.NewsGap > usual->Watcher.Pace &&
-                   usual->Core.NewsGap <= usual->Watcher.Pace * 3 / 2,
+    expectTrue(usual->Core.UpdateGap > usual->Watcher.PollInterval &&
+                   usual->Core.UpdateGap <= usual->Watcher.PollInterval * 3 / 2,
                "a gap is slightly longer than a poll interval");
     auto shorter = read(replaced("3000ms", "1500.5ms"), findings);
-    expectTrue(shorter && shorter->Watcher.Pace < 260ms,
+    expectTrue(shorter && shorter->Watcher.PollInterval < 260ms,
                "a shorter poll interval");
     auto shortGrace = read(replaced("\"6s\"", "\"1.5s\""), findings);
     expectTrue(shortGrace && shortGrace->StopDelay <= 750ms,
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -46,7 +46,7 @@
       std::lock_guard lock(Lock);
       int64_t after = std::stoll(call.get_param_value("after"));
       setGenerationHeader(response);
-      response.status = Content.knows(after) ? Ok : Gone;
+      response.status = Content.hasHistorySince(after) ? Ok : Gone;
       response.set_content(bareBody(Content.since(after)), "application/json");
     });
     Http.Post("/-/kv-lease", [](const auto &, auto &response) {
@@ -287,7 +287,7 @@
           chicory::edge::runEdge(settings, "", dialect, framing).has_value();
     });
     Socket peerSocket;
-    NewsPush push{.Sender = InstanceId{Loopback + 1}};
+    UpdatePush push{.Sender = InstanceId{Loopback + 1}};
     push.Page.At = known.position();
     std::string bytes = encodePush(push);
     const auto *raw = reinterpret_cast<const std::byte *>(bytes.data());
