--- a/lib/edge/PeerUpdates.cpp
+++ b/lib/edge/PeerUpdates.cpp
@@ -70,7 +70,7 @@
 }
 
 /// Returns whether both the push and this copy lack changes before the push's
-/// position, so that they have to be read.
+/// position, so that they have to be pulled.
 bool RegistryWatcher::mustPull(const UpdatePush &push) const {
   return push.Page.At > Cache.position() &&
          (!push.Complete || push.Base > Cache.position());
--- a/lib/edge/RegistrySync.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -271,7 +271,7 @@
 
 void RegistrySync::handlePush(const UpdatePush &push, Time now) {
   if (Watcher.needsSeed(push))
-    return pullStartupCopy(push.Sender);
+    return pullSeed(push.Sender);
   Time before = Watcher.currentAt();
   std::vector<token::Event> updates;
   bool behind = Watcher.applyPush(push, now < StalePushesUntil, now, updates);
@@ -353,14 +353,14 @@
          Watcher.mayPassOn();
 }
 
-void RegistrySync::pullStartupCopy(InstanceId from) {
+void RegistrySync::pullSeed(InstanceId from) {
   if (Pages.busy())
     return;
   Pages.read(from, addressOf(from), std::nullopt,
-             [this](const PageResult &page) { handleStartupCopy(page); });
+             [this](const PageResult &page) { handleSeed(page); });
 }
 
-void RegistrySync::handleStartupCopy(const PageResult &read) {
+void RegistrySync::handleSeed(const PageResult &read) {
   LogLine line("news_from_peer");
   line.with("peer", formatIp(read.Peer.Value));
   if (!read.Page)
--- a/lib/edge/RegistrySync.h
+++ b/lib/edge/RegistrySync.h
@@ -74,8 +74,8 @@
   void sendUnreachableReport(token::BackendId id, bool own);
   void pullUpdates(InstanceId from, bool whole);
   Address addressOf(InstanceId id) const;
-  void pullStartupCopy(InstanceId from);
-  void handleStartupCopy(const PageResult &read);
+  void pullSeed(InstanceId from);
+  void handleSeed(const PageResult &read);
   void sendGossip(Time now);
   bool mayGossip() const;
   /// Whether this instance may write shared items. Its cache is complete, so an
