--- a/include/chicorybank/edge/Compression.h
+++ b/include/chicorybank/edge/Compression.h
@@ -1,7 +1,7 @@
-// Compresses what instances tell each other.
+// Compresses messages between instances.
 //
-// Registrations are JSON of some 250 bytes that differ in a few; a tree of
-// instances passes hundreds of them on each second, and whole configurations
+// Registrations are JSON of about 250 bytes that differ in a few bytes. A tree
+// of instances forwards hundreds of them each second, and whole configurations
 // when a route changes. Compressed, both fit into a few datagrams.
 //
 //   std::string small = compress(large);
@@ -19,13 +19,13 @@
 
 namespace chicory::edge {
 
-/// Compresses bytes (zlib's format, at its fastest level).
+/// Compresses bytes in zlib's format, at its fastest level.
 std::string compress(std::string_view bytes);
 
-/// The inverse. Refuses bytes that are damaged, and those that claim to hold
-/// more than `most` bytes, without making room for them.
+/// Decompresses the output of `compress`. Refuses damaged input, and input that
+/// holds more than `maxBytes` bytes, without allocating memory for them.
 tl::expected<std::string, Reason> decompress(std::span<const char> bytes,
-                                             size_t most);
+                                             size_t maxBytes);
 
 } // namespace chicory::edge
 
--- a/include/chicorybank/edge/DirectoryWriter.h
+++ b/include/chicorybank/edge/DirectoryWriter.h
@@ -1,4 +1,5 @@
-// When this instance writes the directory (`Directory.h`), and what.
+// Decides when this instance writes the directory (`Directory.h`), and which
+// parts of it.
 
 #ifndef CHICORYBANK_EDGE_DIRECTORYWRITER_H
 #define CHICORYBANK_EDGE_DIRECTORYWRITER_H
@@ -10,48 +11,47 @@
 
 namespace chicory::edge {
 
-/// The state machine; it does no I/O. One write is under way at a time.
+/// State machine without I/O. At most one write is in progress.
 class DirectoryWriter {
 public:
-  /// What an entry takes, in bytes.
+  /// The size of an entry.
   static constexpr int64_t EntryBytes = 13;
-  /// Parts are written at most so often that they take this much a second: a
-  /// hundredth of a link of 20 Mbit/s to whoever watches, which reads them
-  /// back. 1,900 registrations are written once a second, 20,000 six times a
-  /// minute.
+  /// The highest rate at which parts are written. The watching instance reads
+  /// them back, and this is a hundredth of its link of 20 Mbit/s. 1,900
+  /// registrations are written once a second, 20,000 six times a minute.
   static constexpr int64_t BytesPerSecond = 25'000;
-  /// A part with more registrations is not written, and those that start list:
-  /// as base64 it has to fit into the megabyte of an item, even where each
-  /// takes 15 bytes.
+  /// A part with more registrations is not written, and starting instances
+  /// list the registrations instead. Encoded in base64, a part has to fit into
+  /// an item of one megabyte, even if each entry takes 15 bytes.
   static constexpr size_t MaxServers = 50'000;
-  /// A transaction has room for so many parts and the note.
+  /// The most parts that fit into a transaction together with the note.
   static constexpr size_t MaxParts = 31;
 
   explicit DirectoryWriter(const RegistryDialect &dialect) : Dialect(dialect) {}
 
-  /// The copy here, and what the registry says of the stored directory.
-  void learn(const Mirror &copy, const DirectoryNote &stored, Time now);
+  /// Takes the local cache, and the note about the stored directory.
+  void learn(const Mirror &cache, const DirectoryNote &stored, Time now);
 
-  /// The call that is due, if any. `stalenessLimit`: of this instance with
-  /// news. Call it only while the news is current.
-  std::optional<RegistryCall> next(const Mirror &copy, Duration stalenessLimit,
+  /// Returns the call that is due, if any. Call it only while the cache is
+  /// current. `stalenessLimit`: that of this instance (`PropagationTree.h`).
+  std::optional<RegistryCall> next(const Mirror &cache, Duration stalenessLimit,
                                    Time now);
   void answered(const NewsAnswer &answer, Time now) {
-    Turn.answered(answer, now);
+    Schedule.answered(answer, now);
   }
-  /// When `next` may have something to send.
+  /// Returns when `next` may return a call.
   Time nextAt(Duration stalenessLimit) const {
-    return Turn.dueAt(stalenessLimit);
+    return Schedule.dueAt(stalenessLimit);
   }
 
-  const WriteStats &stats() const { return Turn.stats(); }
+  const WriteStats &stats() const { return Schedule.stats(); }
 
 private:
   const RegistryDialect &Dialect;
   DirectoryNote Stored;
-  /// The zones whose parts are not as the copy has them.
+  /// The zones whose stored parts differ from the local cache.
   std::set<std::string> Changed;
-  StaggeredWrite Turn;
+  StaggeredWrite Schedule;
 };
 
 } // namespace chicory::edge
--- a/include/chicorybank/edge/FragmentAssembler.h
+++ b/include/chicorybank/edge/FragmentAssembler.h
@@ -1,8 +1,8 @@
-// Puts messages together whose pieces came as several datagrams.
+// Reassembles messages that were sent as several datagrams.
 //
-// Datagrams are lost and come in any order. A message that lacks a piece is
-// forgotten when its sender's next one begins; whoever needed it notices the
-// gap by its revision and reads it elsewhere.
+// Datagrams are lost and arrive in any order. A message that lacks a fragment
+// is dropped when the next one of its sender begins; a receiver that needed it
+// detects the gap by its revision and reads the data elsewhere.
 
 #ifndef CHICORYBANK_EDGE_FRAGMENTASSEMBLER_H
 #define CHICORYBANK_EDGE_FRAGMENTASSEMBLER_H
@@ -16,27 +16,27 @@
 
 namespace chicory::edge {
 
-/// Holds one unfinished message of each sender.
+/// Holds one incomplete message of each sender.
 class FragmentAssembler {
 public:
-  /// Senders whose messages may be unfinished at a time. News comes from one
-  /// parent in the tree and a few heads of zones; more are stray.
+  /// The most senders with an incomplete message. Updates come from one parent
+  /// in the tree and a few heads of zones; datagrams of more senders are stray.
   static constexpr size_t MaxSenders = 16;
 
-  /// Takes a piece. Returns the message's bytes once all of them are there.
+  /// Adds a fragment. Returns the bytes of its message once it is complete.
   std::optional<std::string> add(Fragment fragment);
 
 private:
-  struct Unfinished {
+  struct PartialMessage {
     uint64_t Message = 0;
-    std::vector<std::optional<std::string>> Pieces;
-    /// When it was last added to, in pieces taken.
-    uint64_t Touched = 0;
+    std::vector<std::optional<std::string>> Fragments;
+    /// The value of `FragmentsAdded` at the last fragment of this message.
+    uint64_t LastAddition = 0;
   };
-  Unfinished &unfinished(const Fragment &fragment);
+  PartialMessage &partialMessage(const Fragment &fragment);
 
-  std::map<InstanceId, Unfinished> Senders;
-  uint64_t Taken = 0;
+  std::map<InstanceId, PartialMessage> Senders;
+  uint64_t FragmentsAdded = 0;
 };
 
 } // namespace chicory::edge
--- a/include/chicorybank/edge/InstanceRegistrar.h
+++ b/include/chicorybank/edge/InstanceRegistrar.h
@@ -1,14 +1,14 @@
 // Keeps this instance's record in the registry, under a lease.
 //
-// A process that starts again within its former one's lease takes over record
-// and lease: two cheap calls in place of two that write. In a day with many
-// restarts the writes of those that start are the larger part of all calls. The
-// record is read from a copy that may be old; whatever has become of the lease,
-// its renewal shows it.
+// A process that restarts before the lease of its predecessor has ended takes
+// over the predecessor's record and lease. This takes two cheap calls instead
+// of two writes; on a day with many restarts, the writes of starting instances
+// are most of all calls. The record is read with `Freshness::MayBeOld`; if the
+// lease has ended since, its renewal shows that.
 //
-// A lease may end unnoticed: it lapses while the process is paused, or the
-// registry takes the record away. Renewals say so (404), and the record that
-// is missing from the copy shows it.
+// A lease can end unnoticed: it expires while the process is suspended, or the
+// registry removes the record. Renewals then fail with 404, and the record is
+// missing from the local cache.
 
 #ifndef CHICORYBANK_EDGE_INSTANCEREGISTRAR_H
 #define CHICORYBANK_EDGE_INSTANCEREGISTRAR_H
@@ -17,59 +17,62 @@
 
 namespace chicory::edge {
 
-/// Times of an announcer.
+/// Times of an instance registrar.
 struct RegistrarTimes {
-  /// A dead instance stays in the others' order for this long at most.
-  /// Meanwhile those to whom it would pass news on ask by themselves, a call
-  /// each in two seconds.
+  /// The longest time for which an instance that has failed stays in the
+  /// propagation tree. Until then its children poll the registry themselves,
+  /// with one call each in two seconds.
   Duration LeaseDuration = std::chrono::seconds(12);
-  /// Three tries may be lost. Renewals are the calls that an instance at rest
-  /// makes: of 295 they are 7 full calls a second.
+  /// Three attempts may fail before the lease ends. Renewals are the calls that
+  /// an idle instance makes: those of 295 instances cost the registry as much
+  /// as 7 full calls a second.
   Duration RenewInterval = std::chrono::milliseconds(4500);
   Duration RetryAfter = std::chrono::milliseconds(1500);
-  /// A record that was written is in the copy after this time at the latest.
+  /// The longest time until a written record is in the local cache.
   Duration VisibleWithin = std::chrono::seconds(4);
 };
 
-/// The state machine; it does no I/O. One call is under way at a time.
+/// State machine without I/O. At most one call is in progress.
 class InstanceRegistrar {
 public:
   InstanceRegistrar(const RegistryDialect &dialect, PeerRecord self,
                     RegistrarTimes times)
       : Dialect(dialect), Self(std::move(self)), Times(times) {}
 
-  /// The call that is due, if any.
+  /// Returns the call that is due, if any.
   std::optional<RegistryCall> next(Time now);
   Time nextAt() const { return Waiting ? Time::max() : DueAt; }
   void answered(const NewsAnswer &answer, Time now);
-  /// The copy has this record of ours, or none (null). It holds everything up
-  /// to `asOf`: where news is late, a record that was written is not yet in it.
+  /// Compares this instance's record in the local cache, or null if there is
+  /// none, with what it should be. The cache holds everything up to `asOf`:
+  /// while updates are late, a record that was written is not in it yet.
   void checkRecord(const PeerRecord *own, Time asOf);
-  /// The registry was restored from a copy. The lease may be gone, or its
-  /// number given to another one, so the record is looked up again when its
-  /// renewal is due; renewals of a large deployment are spread over time.
-  void registryRestored() { LookAgain = true; }
-  /// Marks the record as that of an instance that leaves; nothing follows, and
-  /// the record goes with its lease. While it stands, neighbours that start
-  /// learn who may be back soon (`OutageGossip.h`): in a rolling restart none
-  /// of those that stay need have seen the one that is away.
+  /// Handles a restore of the registry from a backup. The lease may be gone, or
+  /// its number may belong to another instance, so the record is read again
+  /// when its renewal is due; renewals of a large deployment are spread over
+  /// time.
+  void registryRestored() { MustReread = true; }
+  /// Returns the call that marks the record as that of a leaving instance. No
+  /// call follows, and the record ends with its lease. Until then, neighbours
+  /// that start learn which instance may be back soon (`OutageGossip.h`): in a
+  /// rolling restart, possibly no running instance has seen the stopped one.
   std::optional<RegistryCall> leave();
 
 private:
-  enum class Phase : uint8_t { Looking, Leasing, Writing, Renewing };
+  enum class Phase : uint8_t { Reading, CreatingLease, Writing, Renewing };
 
-  void takeFormer(const NewsAnswer &answer);
+  void takeOver(const NewsAnswer &answer);
 
   const RegistryDialect &Dialect;
   PeerRecord Self;
   RegistrarTimes Times;
-  Phase State = Phase::Looking;
+  Phase State = Phase::Reading;
   bool Waiting = false;
-  bool LookAgain = false;
-  /// How the record is looked up.
-  Freshness LookUp = Freshness::MayBeOld;
+  bool MustReread = false;
+  /// How current the read of the record has to be.
+  Freshness RecordFreshness = Freshness::MayBeOld;
   int64_t Lease = 0;
-  /// The generation that gave out the lease, where it is known.
+  /// The registry generation in which the lease was created, if known.
   std::optional<Generation> LeaseGeneration;
   Time DueAt;
   Time WrittenAt;
--- a/include/chicorybank/edge/OutageGossip.h
+++ b/include/chicorybank/edge/OutageGossip.h
@@ -1,17 +1,19 @@
-// Whom an instance tells that it is there, while the registry is away.
+// Selects the instances to which this one announces itself while the registry
+// is unavailable.
 //
-// An instance that starts while the registry is away, or in a zone that is cut
-// off from it, knows nothing and nobody: it drops all packets, and one sees
-// `not_current` with `rules=0`. Its neighbours still have its record, or the
-// one that it left with, and all that it needs; so they go on telling it that
-// they are there, and it reads from whoever does.
+// An instance that starts while the registry is unavailable, or in a zone that
+// is cut off from it, has no data and knows no other instance. It drops all
+// packets and logs `not_current` with `rules=0`. Its neighbours still have its
+// record, or the one that it left with, and all the data that it needs. So they
+// keep sending it pushes, and it reads the data from one of the senders.
 //
-// In a rolling restart it may be that just those are left who are about to
-// stop, or who have only what a neighbour told them. They tell as well.
+// In a rolling restart, the only instances left may be ones that are about to
+// stop, or that have only data of a neighbour. They send pushes as well.
 //
-// Each instance is told by a few at a time, other ones each time. If all told
-// all, or all told the heads of zones, a fleet whose registry is away would do
-// nothing else; one sees `pushes` in `status` lines rise by hundreds a second.
+// Each instance gets pushes from a few others at a time, and from different
+// ones each time. If all sent to all, or all to the heads of zones, a
+// deployment without its registry would do nothing else: `pushes` in `status`
+// lines would rise by hundreds a second.
 
 #ifndef CHICORYBANK_EDGE_OUTAGEGOSSIP_H
 #define CHICORYBANK_EDGE_OUTAGEGOSSIP_H
@@ -23,63 +25,71 @@
 
 namespace chicory::edge {
 
-/// Remembers who has left, and when others are next told.
+/// Remembers the instances that have left, and when pushes are next due.
 class OutageGossip {
 public:
-  /// Registered instances are told about at the pace of other news: one of them
-  /// may have been killed and be back.
+  /// Registered instances get pushes about as often as updates come, since one
+  /// of them may have been killed and restarted.
   static constexpr Duration Interval = std::chrono::milliseconds(700);
-  /// Those that have left are few, and each may start at any moment; its
-  /// packets wait for 200 ms before they are dropped. The news of all
-  /// neighbours goes stale at the same moment, so they don't fill each other's
-  /// gaps.
+  /// Instances that have left are few, and each may start at any moment; its
+  /// packets wait for 200 ms before they are dropped. The data of all
+  /// neighbours goes stale at the same moment, so that their pushes don't fill
+  /// the gaps between each other.
   static constexpr Duration FormerInterval = std::chrono::milliseconds(200);
-  /// An instance that left may be back at its address, as in a rolling restart.
+  /// An instance that has left may be back at its address within this time, as
+  /// in a rolling restart.
   static constexpr Duration FormerRetention = std::chrono::seconds(30);
-  /// One whose record lapsed keeps its place in the order for this long: a
-  /// registry that turns it away for as long as a lease lives is no exception.
+  /// An instance whose record has lapsed stays in the propagation tree for this
+  /// long: a registry may well refuse it for the duration of a lease.
   static constexpr Duration LapsedRetention = std::chrono::seconds(12);
 
-  /// So many in its zone tell an instance at a time, in the mean. Where half of
-  /// them have died with it, it hears of one at the first or second time.
+  /// The mean number of instances of its own zone that send to an instance at a
+  /// time. If half of them have failed with it, the first or second time still
+  /// reaches it.
   static constexpr double SendersInZone = 4;
-  /// And so many elsewhere, in case its whole zone has died.
+  /// The mean number of senders in other zones, in case its whole zone has
+  /// failed.
   static constexpr double SendersElsewhere = 1;
 
-  /// For an instance in this zone.
+  /// Creates the state of instance `self` in this zone.
   OutageGossip(InstanceId self, std::string zone)
       : Self(self), Zone(std::move(zone)) {}
 
-  /// The registered instances are now these.
+  /// Takes the instances that are registered now.
   void learn(const std::map<InstanceId, PeerRecord> &peers, Time now);
-  /// Registered instances to be told now.
-  std::vector<Address> dueRegistered(bool away, Time now);
-  /// Instances to be told now that have left, or are leaving, and may be back.
-  std::vector<Address> dueFormer(bool away, Time now);
-  /// When either is due while the registry is away.
-  Time nextAt(bool away) const;
-  const std::map<InstanceId, PeerRecord> &registered() const { return Known; }
-  /// Those that have a place in the order: the registered ones, and those whose
-  /// records have lapsed. Most of them live, and the registry turns them away:
-  /// without a place nobody would tell them anything, just when they can't ask.
+  /// Returns the registered instances that are due for a push. `stale`: the
+  /// registry is unavailable.
+  std::vector<Address> dueRegistered(bool stale, Time now);
+  /// Returns the instances due for a push that have left, or are leaving, and
+  /// may be back.
+  std::vector<Address> dueFormer(bool stale, Time now);
+  /// Returns when the next push is due.
+  Time nextAt(bool stale) const;
+  const std::map<InstanceId, PeerRecord> &registered() const {
+    return Registered;
+  }
+  /// Returns the members of the propagation tree: the registered instances, and
+  /// those whose records have lapsed. Most of the latter are running, and the
+  /// registry refuses them: outside the tree they would get no updates just
+  /// when they can't ask for them.
   std::map<InstanceId, PeerRecord> treeMembers(Time now) const;
 
 private:
-  struct Left {
+  struct FormerPeer {
     PeerRecord Peer;
-    Time At;
+    Time LeftAt;
   };
-  bool tells(const PeerRecord &peer, uint64_t turn) const;
+  bool sendsTo(const PeerRecord &peer, uint64_t round) const;
 
   InstanceId Self;
   std::string Zone;
-  std::map<InstanceId, PeerRecord> Known;
-  /// Of those, the others in this zone, and those elsewhere.
+  std::map<InstanceId, PeerRecord> Registered;
+  /// How many of these are other instances of this zone, or in other zones.
   size_t Neighbours = 0;
   size_t Elsewhere = 0;
-  std::map<InstanceId, Left> Former;
-  /// Counts the times at which any were told.
-  uint64_t Turn = 0;
+  std::map<InstanceId, FormerPeer> Former;
+  /// Counts the times at which pushes were due.
+  uint64_t Round = 0;
   Time DueAt;
   Time FormerDueAt;
 };
--- a/include/chicorybank/edge/PropagationTree.h
+++ b/include/chicorybank/edge/PropagationTree.h
@@ -1,26 +1,29 @@
-// Who asks the registry and who passes news on to whom, without a leader.
+// Decides which instance asks the registry, and to which instances each one
+// forwards updates, without a leader.
 //
-// All instances put the registered instances in the same order: zones by a
-// hash, instances within a zone by a hash. The place in that order gives each
-// a patience: the first asks when its news is as old as the pace, the others
-// later. Whoever asked pushes the answer to the head of each zone's order; from
-// there it goes down a tree in which each instance passes it on to a few.
+// All instances sort the registered instances in the same way: zones by a hash
+// of their name, and instances within a zone by a hash of their id. The rank of
+// an instance sets its staleness limit, the age of its data at which it asks
+// the registry itself. The limit of the first instance is the poll interval;
+// those of the others are longer. An instance that has asked pushes the answer
+// to the heads of each zone, the first ones in its order. From there it goes
+// down a tree in which each instance forwards it to a few others.
 //
-// An instance that does not see its own record yet has no place: its patience
-// is that of the last. Otherwise each of hundreds that start at once would take
-// itself for the first, and ask for changes twice a second until it knew
-// better.
+// An instance that does not see its own record yet has no rank and uses the
+// staleness limit of the last one. Otherwise each of hundreds of instances that
+// start at once would take itself for the first, and ask for changes twice a
+// second until it knew better.
 //
-// Records lapse while the registry is away, all of them at once. An instance
-// whose own record is missing keeps the order that it knew until its record is
-// back, which takes a renewal; of the others most live.
+// While the registry is unavailable, all records lapse at once. An instance
+// whose own record is missing keeps the last known order until its record is
+// back, which takes a renewal; most of the other instances are still running.
 //
-// If the first dies, is cut off or is turned away, no push comes, the next
-// one's patience ends and it asks. If one inside the tree does, the first of
-// those to whom it would pass news on asks, and tells the others of them:
-// patience grows with the steps from the first, so that one call serves all
-// behind the one that died, however many they are. Two instances that disagree
-// about the order only cost a call or a datagram more.
+// If the first instance fails, is cut off or is refused by the registry, no
+// push comes, and the next one asks when its staleness limit is reached. If an
+// instance inside the tree fails, the first of its children asks and pushes the
+// answer to its siblings. The limit grows with the depth in the tree, so that
+// one call serves the whole subtree of the failed instance, however large. Two
+// instances that disagree about the order cost only an extra call or datagram.
 
 #ifndef CHICORYBANK_EDGE_PROPAGATIONTREE_H
 #define CHICORYBANK_EDGE_PROPAGATIONTREE_H
@@ -32,53 +35,55 @@
 
 namespace chicory::edge {
 
-/// How an instance takes part.
+/// The place of an instance in the deployment, and the times that apply to it.
 struct PropagationOptions {
   InstanceId Self;
   std::string Zone;
   Duration Pace = std::chrono::milliseconds(500);
-  /// News has to be in force everywhere within this time.
+  /// An update has to be in force on all instances within this time.
   Duration ApplyWithin = std::chrono::seconds(3);
   Duration RetryMax = std::chrono::milliseconds(800);
   uint64_t Seed = 1;
 };
 
-/// The order and what follows from it.
+/// Computes this instance's staleness limit and the receivers of its pushes.
 class PropagationTree {
 public:
-  /// Each instance passes news on to this many in its zone: 900 instances are
-  /// reached in four steps, with 16 datagrams a second from each.
+  /// Each instance forwards updates to this many others in its zone. An update
+  /// reaches 900 instances in four steps, and each instance sends 16 datagrams
+  /// a second.
   static constexpr size_t FanOut = 8;
-  /// In another zone the news goes to this many, in case the first is gone.
+  /// Updates go to this many instances of each other zone, in case the first
+  /// one has failed.
   static constexpr size_t HeadsPerOtherZone = 2;
 
   explicit PropagationTree(PropagationOptions options);
 
-  /// The registered instances changed. Those that leave have no place.
+  /// Takes the registered instances. Those that are leaving get no rank.
   void learn(const std::map<InstanceId, PeerRecord> &peers);
 
   Duration stalenessLimit() const { return StalenessLimit; }
   Duration retryMax() const { return RetryMax; }
-  /// Whom to tell. `asked`: this instance got the news from the registry, not
-  /// from another instance.
-  std::vector<Address> targets(bool asked) const;
+  /// Returns the receivers of a push. `fromRegistry`: this instance got the
+  /// update from the registry, not from another instance.
+  std::vector<Address> targets(bool fromRegistry) const;
 
 private:
-  struct Place;
+  struct Member;
 
   void setStalenessLimit(size_t zoneRank, size_t rank);
-  void append(const std::vector<Place> &places, size_t first,
-              std::vector<Address> &out) const;
-  double share() const;
+  void appendRanks(const std::vector<Member> &members, size_t first,
+                   std::vector<Address> &out) const;
+  double jitter() const;
 
   PropagationOptions Options;
   Duration StalenessLimit;
   Duration RetryMax;
-  /// Its own record has been seen.
-  bool Placed = false;
+  /// This instance has seen its own record.
+  bool Ranked = false;
   std::vector<Address> Children;
   std::vector<Address> Heads;
-  /// Those that get news from the same instance as this one.
+  /// The other children of this instance's parent.
   std::vector<Address> Siblings;
 };
 
--- a/include/chicorybank/edge/RouteHistoryWriter.h
+++ b/include/chicorybank/edge/RouteHistoryWriter.h
@@ -1,8 +1,8 @@
-// When this instance writes the record of routes, and what.
+// Decides when this instance writes the record of routes, and which parts.
 //
-// Each instance keeps a ledger; whose turn it is to write follows from
-// `StaggeredWrite`. A longer wait than there would leave a route that lasts for
-// seconds unrecorded if all processes end with it.
+// Each instance computes the record (`RouteHistory.h`); `StaggeredWrite`
+// decides which one writes, and when. With a longer delay than there, a route
+// that exists for seconds would stay unrecorded if all processes ended with it.
 
 #ifndef CHICORYBANK_EDGE_ROUTEHISTORYWRITER_H
 #define CHICORYBANK_EDGE_ROUTEHISTORYWRITER_H
@@ -14,40 +14,40 @@
 
 namespace chicory::edge {
 
-/// The state machine; it does no I/O. One call is under way at a time.
+/// State machine without I/O. At most one call is in progress.
 class RouteHistoryWriter {
 public:
   explicit RouteHistoryWriter(const RegistryDialect &dialect,
                               StaggeredWriteTimes times = {})
-      : Dialect(dialect), Turn(times) {}
+      : Dialect(dialect), Schedule(times) {}
 
-  /// A version came into force here.
+  /// Takes the routes of a version that came into force on this instance.
   void learn(const token::RouteSet &routes, Time now) {
-    Ledger.learn(routes, now);
+    History.learn(routes, now);
   }
-  /// What is recorded as of now. Follows each version, and each change of the
-  /// record.
+  /// Takes the stored record. Call it after each new version, and after each
+  /// change of the record.
   void learn(const RouteHistoryParts &stored, Duration maxFlowAge, Time now);
 
-  /// The call that is due, if any. `stalenessLimit`: of this instance with
-  /// news. Call it only while everything was read and the news is current: what
-  /// was not read yet must not be taken for missing.
+  /// Returns the call that is due, if any. Call it only while everything has
+  /// been read and is current: a part that was not read yet must not count as
+  /// missing. `stalenessLimit`: that of this instance (`PropagationTree.h`).
   std::optional<RegistryCall> next(Duration stalenessLimit, Time now);
   void answered(const NewsAnswer &answer, Time now) {
-    Turn.answered(answer, now);
+    Schedule.answered(answer, now);
   }
-  /// When `next` may have something to send.
+  /// Returns when `next` may return a call.
   Time nextAt(Duration stalenessLimit) const {
-    return Turn.dueAt(stalenessLimit);
+    return Schedule.dueAt(stalenessLimit);
   }
 
-  const WriteStats &stats() const { return Turn.stats(); }
+  const WriteStats &stats() const { return Schedule.stats(); }
 
 private:
   const RegistryDialect &Dialect;
-  StaggeredWrite Turn;
-  RouteHistory Ledger;
-  std::vector<RouteHistoryPart> Missing;
+  StaggeredWrite Schedule;
+  RouteHistory History;
+  std::vector<RouteHistoryPart> Incomplete;
 };
 
 } // namespace chicory::edge
--- a/include/chicorybank/edge/StaggeredWrite.h
+++ b/include/chicorybank/edge/StaggeredWrite.h
@@ -1,12 +1,14 @@
-// When this instance writes something that any instance could write.
+// Schedules a write to the registry that any instance could make.
 //
-// One of them writes, without a leader. What is missing in the registry has to
-// be missing for a while, for longer the further back an instance stands in
-// line, and by then whoever stands before it has written. Two that write at
-// once can't undo each other: a write holds only where the registry is as its
-// writer read it. One that was refused is not repeated until the copy here has
-// what the other has written: it would be refused again. Where news is late,
-// hundreds would write every two seconds; one sees `status=412` in rows.
+// One instance writes, without a leader. Data has to be missing from the
+// registry for some time before an instance writes it. This delay grows with
+// the rank of the instance (`PropagationTree.h`), so that an instance before it
+// has written by then. Two instances that write at once can't undo each other:
+// a write succeeds only if the registry is as its writer read it. A refused
+// write is not repeated until the local cache has what the other instance has
+// written, since it would be refused again. Without this, hundreds of instances
+// write every two seconds while updates are late, and `status=412` repeats in
+// the logs.
 
 #ifndef CHICORYBANK_EDGE_STAGGEREDWRITE_H
 #define CHICORYBANK_EDGE_STAGGEREDWRITE_H
@@ -15,42 +17,44 @@
 
 namespace chicory::edge {
 
-/// Times of a turn.
+/// Delays of a staggered write.
 struct StaggeredWriteTimes {
-  /// How long something may be missing before the first in line writes.
-  /// Changes come in bursts of some a second, and a write for each is wasted.
+  /// How long data has to be missing before the first instance writes it.
+  /// Changes come in bursts of several a second, and a write for each would be
+  /// wasted.
   Duration SettleTime = std::chrono::seconds(1);
-  /// Of its patience with news, an instance further back waits so much longer.
+  /// An instance waits for its staleness limit times this factor in addition.
   int StalenessLimitFactor = 2;
-  /// A write that failed is tried again after this time, and one that was
-  /// refused when the copy has moved on.
+  /// The delay before a failed write is retried, and before a refused one is
+  /// once the cache has changed.
   Duration RetryAfter = std::chrono::seconds(2);
 };
 
 /// Counters of writes.
 struct WriteStats {
   uint64_t Written = 0;
-  /// Another instance had written first.
+  /// Another instance had written before.
   uint64_t Refused = 0;
   uint64_t Failed = 0;
 };
 
-/// The state machine; it does no I/O. One write is under way at a time.
+/// State machine without I/O. At most one write is in progress.
 class StaggeredWrite {
 public:
   explicit StaggeredWrite(StaggeredWriteTimes times = {}) : Times(times) {}
 
-  /// Whether something is missing now, and where what is stored was written.
-  void learn(bool missing, Position storedAsOf, Time now);
-  /// When this instance may write; far away while nothing is missing.
+  /// Takes whether data is missing now, and the position at which the stored
+  /// data was written.
+  void learn(bool missing, Position storedAt, Time now);
+  /// Returns when this instance may write; `Time::max()` while no write is due.
   Time dueAt(Duration stalenessLimit) const;
-  /// The write was sent.
+  /// Notes that the write was sent.
   void begin() {
     Waiting = true;
-    SentAsOf = StoredAsOf;
+    StoredAtSend = StoredAt;
   }
   void answered(const NewsAnswer &answer, Time now);
-  /// From now on the first in line waits for this long.
+  /// Sets the delay of the first instance.
   void setSettleTime(Duration time) { Times.SettleTime = time; }
 
   const WriteStats &stats() const { return Stats; }
@@ -59,12 +63,12 @@
   StaggeredWriteTimes Times;
   bool Missing = false;
   bool Waiting = false;
-  /// The last write was refused, and the copy is as it was then.
-  bool Overtaken = false;
-  Position StoredAsOf;
-  /// `StoredAsOf` at the last write.
-  Position SentAsOf;
-  /// Since when something has been missing, or since the last write by anyone.
+  /// The last write was refused, and the cache has not changed since.
+  bool RefusedAsStale = false;
+  Position StoredAt;
+  /// `StoredAt` when the last write was sent.
+  Position StoredAtSend;
+  /// When data was first missing, or when any instance last wrote, if later.
   Time MissingSince;
   Time NotBefore;
   WriteStats Stats;
--- a/include/chicorybank/edge/UnreachableReportFilter.h
+++ b/include/chicorybank/edge/UnreachableReportFilter.h
@@ -1,8 +1,9 @@
-// Which doubts about backend servers were passed on lately.
+// Filters repeated reports of unreachable backend servers.
 //
-// A doubt goes the way of news, from instance to instance. Each passes it on
-// once; what it hears of the same server soon after comes from others that have
-// found it themselves, and would only go round again.
+// A report spreads from instance to instance as updates do. Each instance
+// forwards it once; reports of the same server soon after come from instances
+// that have found it unreachable themselves, and forwarding them would only
+// send the same report round again.
 
 #ifndef CHICORYBANK_EDGE_UNREACHABLEREPORTFILTER_H
 #define CHICORYBANK_EDGE_UNREACHABLEREPORTFILTER_H
@@ -13,22 +14,23 @@
 
 namespace chicory::edge {
 
-/// Remembers doubts for a while.
+/// Remembers for some time which reports were forwarded.
 class UnreachableReportFilter {
 public:
-  /// A server whose doubt was passed on is not told of again for this long.
-  /// Registrations of dead servers end within a few seconds; a server that is
-  /// cut off may be doubted several times.
+  /// Further reports of a server are dropped for this long after one was
+  /// forwarded. Registrations of failed servers end within a few seconds; a
+  /// server that is cut off may be reported several times.
   static constexpr Duration DeduplicationWindow = std::chrono::seconds(2);
-  /// More doubts than this at a time are kept to oneself: so many servers don't
-  /// die at once, and a flood of made-up ones must not be passed on.
+  /// The most reports that are forwarded within the window; others are dropped.
+  /// More servers than this don't fail at once, and a flood of made-up reports
+  /// must not be forwarded.
   static constexpr size_t MaxReports = 256;
 
-  /// True where this doubt is to be passed on.
+  /// Returns whether to forward a report of this server, and remembers it.
   bool shouldForward(token::BackendId id, Time now);
 
 private:
-  std::map<token::BackendId, Time> Told;
+  std::map<token::BackendId, Time> ForwardedAt;
 };
 
 } // namespace chicory::edge
--- a/lib/edge/Compression.cpp
+++ b/lib/edge/Compression.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Output grows by these steps, so that room is made for what comes out, not for
-// what a message claims.
-constexpr size_t Step = 64 << 10;
+// The output buffer grows in these steps, so that its size follows the actual
+// output rather than the size that a message claims to have.
+constexpr size_t StepBytes = 64 << 10;
 
 struct Inflater {
   Inflater() : Ok(inflateInit(&Stream) == Z_OK) {}
@@ -26,7 +26,7 @@
 std::string compress(std::string_view bytes) {
   uLongf size = compressBound(bytes.size());
   std::string out(size, '\0');
-  // Fails only where there is no memory, or too little room for the output.
+  // Fails only if memory runs out or the output buffer is too small.
   int status = compress2(reinterpret_cast<Bytef *>(out.data()), &size,
                          reinterpret_cast<const Bytef *>(bytes.data()),
                          bytes.size(), Z_BEST_SPEED);
@@ -35,23 +35,23 @@
 }
 
 tl::expected<std::string, Reason> decompress(std::span<const char> bytes,
-                                             size_t most) {
+                                             size_t maxBytes) {
   Inflater in;
   in.Stream.next_in =
       reinterpret_cast<Bytef *>(const_cast<char *>(bytes.data()));
   in.Stream.avail_in = static_cast<uInt>(bytes.size());
   std::string out;
   int status = in.Ok ? Z_OK : Z_MEM_ERROR;
-  while (status == Z_OK && out.size() <= most) {
+  while (status == Z_OK && out.size() <= maxBytes) {
     size_t before = out.size();
-    out.resize(std::min(before + Step, most + 1));
+    out.resize(std::min(before + StepBytes, maxBytes + 1));
     in.Stream.next_out = reinterpret_cast<Bytef *>(out.data() + before);
     in.Stream.avail_out = static_cast<uInt>(out.size() - before);
     status = inflate(&in.Stream, Z_NO_FLUSH);
     out.resize(out.size() - in.Stream.avail_out);
   }
   bool whole = status == Z_STREAM_END && in.Stream.avail_in == 0;
-  if (!whole || out.size() > most)
+  if (!whole || out.size() > maxBytes)
     return tl::make_unexpected(Reason::BadPeerMessage);
   return out;
 }
--- a/lib/edge/DirectoryWriter.cpp
+++ b/lib/edge/DirectoryWriter.cpp
@@ -13,7 +13,7 @@
   return it == digests.end() ? 0 : it->second;
 }
 
-/// The zones that one of the two has and the other has not, or not so.
+/// Returns the zones whose digests differ, or that only one of the two has.
 std::set<std::string> differences(const ZoneDigests &a, const ZoneDigests &b) {
   std::set<std::string> out;
   for (const ZoneDigests *digests : {&a, &b})
@@ -25,37 +25,37 @@
 
 } // namespace
 
-void DirectoryWriter::learn(const Mirror &copy, const DirectoryNote &stored,
+void DirectoryWriter::learn(const Mirror &cache, const DirectoryNote &stored,
                             Time now) {
   Stored = stored;
-  Changed = differences(copy.registrationDigests(), stored.Digests);
+  Changed = differences(cache.registrationDigests(), stored.Digests);
   std::erase_if(Changed, [&](const std::string &zone) {
-    return copy.registrationCount(zone) > MaxServers;
+    return cache.registrationCount(zone) > MaxServers;
   });
   int64_t servers = 0;
   for (const std::string &zone : Changed)
-    servers += static_cast<int64_t>(copy.registrationCount(zone));
-  Turn.setSettleTime(std::max<Duration>(
+    servers += static_cast<int64_t>(cache.registrationCount(zone));
+  Schedule.setSettleTime(std::max<Duration>(
       StaggeredWriteTimes{}.SettleTime,
       std::chrono::seconds(servers * EntryBytes / BytesPerSecond)));
-  Turn.learn(!Changed.empty(), stored.At, now);
+  Schedule.learn(!Changed.empty(), stored.At, now);
 }
 
 std::optional<RegistryCall>
-DirectoryWriter::next(const Mirror &copy, Duration stalenessLimit, Time now) {
+DirectoryWriter::next(const Mirror &cache, Duration stalenessLimit, Time now) {
   if (now < nextAt(stalenessLimit))
     return std::nullopt;
-  Turn.begin();
-  ZoneDigests digests = copy.registrationDigests();
+  Schedule.begin();
+  ZoneDigests digests = cache.registrationDigests();
   DirectoryNote note = Stored;
   std::map<std::string, std::string> parts;
   for (const std::string &zone : Changed) {
     if (parts.size() == MaxParts)
       break;
-    parts[zone] = encodeDirectory({.Servers = copy.registrations(zone),
-                                   .Instances = copy.instanceCount()});
+    parts[zone] = encodeDirectory({.Servers = cache.registrations(zone),
+                                   .Instances = cache.instanceCount()});
     note.Digests[zone] = digestOf(digests, zone);
-    // A zone without servers: its part is empty, and needs no checksum.
+    // The part of a zone without servers is empty and needs no checksum.
     if (note.Digests[zone] == 0)
       note.Digests.erase(zone);
   }
--- a/lib/edge/InstanceRegistrar.cpp
+++ b/lib/edge/InstanceRegistrar.cpp
@@ -10,17 +10,17 @@
   if (Waiting || now < DueAt)
     return std::nullopt;
   Waiting = true;
-  if (std::exchange(LookAgain, false)) {
-    // A record whose write was not answered may stand under another's lease.
-    bool written = State == Phase::Renewing || State == Phase::Looking;
-    State = written ? Phase::Looking : Phase::Leasing;
-    // What is old may be from before the restore.
-    LookUp = Freshness::Current;
+  if (std::exchange(MustReread, false)) {
+    // If a write was not answered, the record may have another's lease.
+    bool written = State == Phase::Renewing || State == Phase::Reading;
+    State = written ? Phase::Reading : Phase::CreatingLease;
+    // A stale read may be from before the restore.
+    RecordFreshness = Freshness::Current;
   }
   switch (State) {
-  case Phase::Looking:
-    return Dialect.readRecord(Self.Id, LookUp);
-  case Phase::Leasing:
+  case Phase::Reading:
+    return Dialect.readRecord(Self.Id, RecordFreshness);
+  case Phase::CreatingLease:
     return Dialect.createLease(Times.LeaseDuration);
   case Phase::Writing:
     return Dialect.announce(Self, Lease);
@@ -34,22 +34,22 @@
   Waiting = false;
   DueAt = now + Times.RetryAfter;
   bool known = answer.Status == HttpOk || answer.Status == HttpNotFound;
-  if (State == Phase::Looking && known) {
-    takeFormer(answer);
+  if (State == Phase::Reading && known) {
+    takeOver(answer);
     DueAt = now;
     return;
   }
   if (answer.Status == HttpNotFound) {
-    State = Phase::Leasing;
+    State = Phase::CreatingLease;
     DueAt = now;
     return;
   }
   if (answer.Status != HttpOk)
     return;
   switch (State) {
-  case Phase::Looking:
+  case Phase::Reading:
     break;
-  case Phase::Leasing: {
+  case Phase::CreatingLease: {
     auto lease = Dialect.readLease(answer.Body);
     if (!lease)
       return;
@@ -60,11 +60,11 @@
     return;
   }
   case Phase::Writing:
-    // Written after a restore that had not been noticed: a lease of this
-    // number may have been given to another instance since.
+    // The write came after an unnoticed restore of the registry, which may
+    // have given a lease of this number to another instance since.
     if (LeaseGeneration && answer.Generation &&
         *answer.Generation != *LeaseGeneration) {
-      State = Phase::Leasing;
+      State = Phase::CreatingLease;
       DueAt = now;
       return;
     }
@@ -77,8 +77,8 @@
   DueAt = now + Times.RenewInterval;
 }
 
-void InstanceRegistrar::takeFormer(const NewsAnswer &answer) {
-  State = Phase::Leasing;
+void InstanceRegistrar::takeOver(const NewsAnswer &answer) {
+  State = Phase::CreatingLease;
   if (answer.Status != HttpOk)
     return;
   auto item = Dialect.readItem(answer.Body);
@@ -96,15 +96,15 @@
   if (Waiting || State != Phase::Renewing || (own && *own == Self) ||
       asOf - WrittenAt < Times.VisibleWithin)
     return;
-  // A record that is not as it was written is the former process's: a late
-  // write of it, or one that was read from an old copy.
-  State = own ? Phase::Writing : Phase::Leasing;
+  // A record that differs from what was written is that of the previous
+  // process: either a late write of it, or the result of a stale read.
+  State = own ? Phase::Writing : Phase::CreatingLease;
   DueAt = asOf;
 }
 
 std::optional<RegistryCall> InstanceRegistrar::leave() {
   Waiting = true;
-  if (State == Phase::Leasing || State == Phase::Looking || LookAgain)
+  if (State == Phase::CreatingLease || State == Phase::Reading || MustReread)
     return std::nullopt;
   if (State == Phase::Writing)
     return Dialect.endLease(Lease);
--- a/lib/edge/MessagePack.h
+++ b/lib/edge/MessagePack.h
@@ -1,5 +1,5 @@
-// MessagePack values, written and read with msgpack-c, for messages and items
-// of the project's own.
+// Writes and reads MessagePack values with msgpack-c, for the messages and
+// items of this project.
 
 #ifndef CHICORYBANK_LIB_EDGE_MESSAGEPACK_H
 #define CHICORYBANK_LIB_EDGE_MESSAGEPACK_H
@@ -51,7 +51,7 @@
   msgpack_packer Out{};
 };
 
-/// Reads the items of one array in turn, and remembers whether all were there.
+/// Reads the values of one array in order, and records whether all were valid.
 class Unpacker {
 public:
   explicit Unpacker(const msgpack_object &object) {
@@ -88,14 +88,14 @@
     Ok = false;
     return {};
   }
-  /// The values of a list, to be read in turn.
+  /// Returns a reader of the values of a list.
   Unpacker nested() {
     const msgpack_object *it = next();
     return it ? Unpacker(*it) : Unpacker(msgpack_object{});
   }
   bool more() const { return Ok && Position < Items.size(); }
   void require(bool condition) { Ok = Ok && condition; }
-  /// Every item was read, and had its kind.
+  /// Returns whether every value was read and had the expected type.
   bool done() const { return Ok && Position == Items.size(); }
   bool ok() const { return Ok; }
 
@@ -109,34 +109,34 @@
   bool Ok = true;
 };
 
-/// Walks over the values of a message without building them.
+/// Checks the structure of a message without building its values.
 ///
-/// What goes wrong without: the library makes room for as many values as a list
-/// or map claims to have, before it looks for them. A stray datagram of 18
-/// bytes asks for 256 GB; one sees an instance that ends, or starts to swap,
-/// with `chicory_bad_peer_messages_total` rising.
-class Walker {
+/// Without this, the library allocates memory for as many values as a list or
+/// map claims to have, before it looks for them. A stray datagram of 18 bytes
+/// requests 256 GB. The instance ends or starts to swap, and
+/// `chicory_bad_peer_messages_total` rises.
+class StructureChecker {
 public:
-  explicit Walker(std::span<const char> bytes) : Bytes(bytes) {}
-
-  /// The bytes are one whole value, of the kinds that our messages have, and
-  /// no list claims more values than there are bytes left.
-  bool isWhole() {
-    uint64_t wanted = 1;
-    while (wanted != 0) {
-      if (wanted > Bytes.size() || !step(wanted))
+  explicit StructureChecker(std::span<const char> bytes) : Bytes(bytes) {}
+
+  /// Returns whether the bytes are one complete value, of the types that our
+  /// messages have, and no list claims more values than there are bytes left.
+  bool isComplete() {
+    uint64_t expected = 1;
+    while (expected != 0) {
+      if (expected > Bytes.size() || !step(expected))
         return false;
-      --wanted;
+      --expected;
     }
     return Bytes.empty();
   }
 
 private:
-  // Formats of MessagePack.
-  static constexpr uint8_t FixIntMost = 0x7f;
+  // Format bytes of MessagePack.
+  static constexpr uint8_t FixIntMax = 0x7f;
   static constexpr uint8_t FixArray = 0x90;
   static constexpr uint8_t FixStr = 0xa0;
-  static constexpr uint8_t FixStrMost = 0xbf;
+  static constexpr uint8_t FixStrMax = 0xbf;
   static constexpr uint8_t False = 0xc2;
   static constexpr uint8_t True = 0xc3;
   static constexpr uint8_t Uint8 = 0xcc;
@@ -146,17 +146,17 @@
   static constexpr uint8_t Array16 = 0xdc;
   static constexpr uint8_t Array32 = 0xdd;
 
-  /// Passes over one value; a list adds its values to `wanted`.
-  bool step(uint64_t &wanted) {
+  /// Skips one value; a list adds the number of its values to `expected`.
+  bool step(uint64_t &expected) {
     auto format = static_cast<uint8_t>(Bytes[0]);
     Bytes = Bytes.subspan(1);
-    if (format <= FixIntMost || format == False || format == True)
+    if (format <= FixIntMax || format == False || format == True)
       return true;
     if (format >= FixArray && format < FixStr) {
-      wanted += format - FixArray;
+      expected += format - FixArray;
       return true;
     }
-    if (format >= FixStr && format <= FixStrMost)
+    if (format >= FixStr && format <= FixStrMax)
       return skip(format - FixStr);
     if (format >= Uint8 && format <= Uint64)
       return skip(size_t{1} << (format - Uint8));
@@ -164,7 +164,7 @@
       return skip(number(size_t{1} << (format - Str8)));
     if (format != Array16 && format != Array32)
       return false;
-    wanted += number(format == Array16 ? 2 : 4);
+    expected += number(format == Array16 ? 2 : 4);
     return true;
   }
   bool skip(uint64_t n) {
@@ -173,7 +173,7 @@
     Bytes = Bytes.subspan(n);
     return true;
   }
-  /// A length in so many bytes; too much where they are not there.
+  /// Reads a length of `n` bytes; returns a too large one if they are missing.
   uint64_t number(size_t n) {
     if (n > Bytes.size())
       return UINT32_MAX;
@@ -187,12 +187,12 @@
   std::span<const char> Bytes;
 };
 
-/// Parses bytes that are one array, which starts with a format version, and
-/// lets `read` read the rest of it.
+/// Decodes one array that starts with a format version; `read` decodes the rest
+/// of it.
 template <typename Value, typename Read>
 tl::expected<Value, Reason> decodeArray(std::span<const char> bytes,
                                         uint64_t version, Read read) {
-  if (!Walker(bytes).isWhole())
+  if (!StructureChecker(bytes).isComplete())
     return tl::make_unexpected(Reason::BadPeerMessage);
   std::unique_ptr<msgpack_zone, decltype(&msgpack_zone_free)> zone(
       msgpack_zone_new(MSGPACK_ZONE_CHUNK_SIZE), &msgpack_zone_free);
--- a/lib/edge/OutageGossip.cpp
+++ b/lib/edge/OutageGossip.cpp
@@ -9,68 +9,70 @@
 
 void OutageGossip::learn(const std::map<InstanceId, PeerRecord> &peers,
                          Time now) {
-  for (const auto &[id, peer] : Known)
+  for (const auto &[id, peer] : Registered)
     if (!peers.contains(id))
-      Former[id] = {.Peer = peer, .At = now};
-  Known = peers;
-  auto near = std::count_if(Known.begin(), Known.end(), [&](const auto &it) {
-    return it.first != Self && it.second.Zone == Zone;
-  });
+      Former[id] = {.Peer = peer, .LeftAt = now};
+  Registered = peers;
+  auto near =
+      std::count_if(Registered.begin(), Registered.end(), [&](const auto &it) {
+        return it.first != Self && it.second.Zone == Zone;
+      });
   Neighbours = static_cast<size_t>(near);
-  Elsewhere = Known.size() - Neighbours;
+  Elsewhere = Registered.size() - Neighbours;
   std::erase_if(Former, [&](const auto &it) {
-    return Known.contains(it.first) || now - it.second.At > FormerRetention;
+    return Registered.contains(it.first) ||
+           now - it.second.LeftAt > FormerRetention;
   });
-  for (const auto &[id, peer] : Known)
+  for (const auto &[id, peer] : Registered)
     if (peer.Leaving)
-      Former[id] = {.Peer = peer, .At = now};
+      Former[id] = {.Peer = peer, .LeftAt = now};
 }
 
 std::map<InstanceId, PeerRecord> OutageGossip::treeMembers(Time now) const {
-  std::map<InstanceId, PeerRecord> out = Known;
-  for (const auto &[id, left] : Former)
-    if (!left.Peer.Leaving && now - left.At <= LapsedRetention)
-      out.emplace(id, left.Peer);
+  std::map<InstanceId, PeerRecord> out = Registered;
+  for (const auto &[id, former] : Former)
+    if (!former.Peer.Leaving && now - former.LeftAt <= LapsedRetention)
+      out.emplace(id, former.Peer);
   return out;
 }
 
-/// A share of all pairs, another one each turn.
-bool OutageGossip::tells(const PeerRecord &peer, uint64_t turn) const {
+/// Selects a share of all pairs of instances, a different one each round.
+bool OutageGossip::sendsTo(const PeerRecord &peer, uint64_t round) const {
   bool near = peer.Zone == Zone;
   double share = near ? SendersInZone /
                             static_cast<double>(std::max<size_t>(Neighbours, 1))
                       : SendersElsewhere /
                             static_cast<double>(std::max<size_t>(Elsewhere, 1));
-  uint64_t hash = mixHash(mixHash(Self.Value, peer.Id.Value), turn);
+  uint64_t hash = mixHash(mixHash(Self.Value, peer.Id.Value), round);
   return static_cast<double>(hash) < share * std::ldexp(1.0, 64);
 }
 
-std::vector<Address> OutageGossip::dueRegistered(bool away, Time now) {
+std::vector<Address> OutageGossip::dueRegistered(bool stale, Time now) {
   std::vector<Address> out;
-  if (!away || now < DueAt)
+  if (!stale || now < DueAt)
     return out;
   DueAt = now + Interval;
-  ++Turn;
-  for (const auto &[id, peer] : Known)
-    if (id != Self && tells(peer, Turn))
+  ++Round;
+  for (const auto &[id, peer] : Registered)
+    if (id != Self && sendsTo(peer, Round))
       out.push_back(peer.Peers);
   return out;
 }
 
-std::vector<Address> OutageGossip::dueFormer(bool away, Time now) {
+std::vector<Address> OutageGossip::dueFormer(bool stale, Time now) {
   std::vector<Address> out;
-  if (!away || now < FormerDueAt)
+  if (!stale || now < FormerDueAt)
     return out;
   FormerDueAt = now + FormerInterval;
-  ++Turn;
-  for (const auto &[id, left] : Former)
-    if (now - left.At <= FormerRetention && tells(left.Peer, Turn))
-      out.push_back(left.Peer.Peers);
+  ++Round;
+  for (const auto &[id, former] : Former)
+    if (now - former.LeftAt <= FormerRetention && sendsTo(former.Peer, Round))
+      out.push_back(former.Peer.Peers);
   return out;
 }
 
-Time OutageGossip::nextAt(bool away) const {
-  if (!away)
+Time OutageGossip::nextAt(bool stale) const {
+  if (!stale)
     return Time::max();
   return Former.empty() ? DueAt : std::min(DueAt, FormerDueAt);
 }
--- a/lib/edge/PeerMessages.cpp
+++ b/lib/edge/PeerMessages.cpp
@@ -12,13 +12,13 @@
 
 constexpr uint64_t FormatVersion = 3;
 enum class Kind : uint8_t {
-  News = 1,
+  Push = 1,
   Fragment = 2,
   UnreachableReport = 3,
   Page = 4
 };
 
-/// Reads a message's format version and kind; `read` reads the rest of the
+/// Decodes a message's format version and kind. `read` decodes the rest of the
 /// outer array, which depends on the kind.
 template <typename Message, typename Read>
 tl::expected<Message, Reason> decode(std::span<const char> bytes, Read read) {
@@ -49,7 +49,7 @@
   out.number(static_cast<uint64_t>(position.Revision));
 }
 
-/// The item's generation is the page's.
+/// Packs an item without its generation, which is the page's.
 void pack(Packer &out, const Item &item) {
   out.list(5).text(item.Key).number(static_cast<uint64_t>(item.At.Revision));
   out.number(static_cast<uint64_t>(item.Created));
@@ -64,7 +64,7 @@
 
 std::string packPush(const UpdatePush &push, bool withItems) {
   Packer out;
-  out.list(11).number(FormatVersion).number(static_cast<uint64_t>(Kind::News));
+  out.list(11).number(FormatVersion).number(static_cast<uint64_t>(Kind::Push));
   out.number(push.Sender.Value);
   out.number(static_cast<uint64_t>(std::max<int64_t>(push.Age.count(), 0)));
   pack(out, push.Base);
@@ -74,7 +74,7 @@
   return out.take();
 }
 
-/// Too much for a push, whatever compression makes of it.
+/// Returns whether the items are too large for a push, even if compressed.
 bool isTooLarge(const UpdatePush &push) {
   size_t bytes = 0;
   for (const Item &it : push.Page.Items)
@@ -100,10 +100,10 @@
 UpdatePush readPush(Unpacker &in) {
   UpdatePush out{.Sender = readInstance(in)};
   uint64_t age = in.number();
-  // A day: older news is as good as none, and must not overflow.
-  constexpr uint64_t Most = 86'400'000'000;
-  in.require(age <= Most);
-  out.Age = Duration(static_cast<int64_t>(std::min(age, Most)));
+  // One day, in microseconds; a larger age could overflow and is useless.
+  constexpr uint64_t MaxAge = 86'400'000'000;
+  in.require(age <= MaxAge);
+  out.Age = Duration(static_cast<int64_t>(std::min(age, MaxAge)));
   out.Base = readPosition(in);
   out.Page.At = readPosition(in);
   out.Digest = in.number();
@@ -125,14 +125,14 @@
 
 } // namespace
 
-std::string encodePush(const UpdatePush &push, size_t most) {
+std::string encodePush(const UpdatePush &push, size_t maxBytes) {
   std::string out = packPush(push, true);
-  return out.size() <= most ? out : packPush(push, false);
+  return out.size() <= maxBytes ? out : packPush(push, false);
 }
 
 tl::expected<UpdatePush, Reason> decodePush(std::span<const char> bytes) {
   return decode<UpdatePush>(bytes, [](Unpacker &in, uint64_t kind) {
-    in.require(kind == static_cast<uint64_t>(Kind::News));
+    in.require(kind == static_cast<uint64_t>(Kind::Push));
     return readPush(in);
   });
 }
@@ -161,9 +161,9 @@
 }
 
 tl::expected<UpdatePush, Reason> decodeFragments(std::span<const char> bytes) {
-  // Keys and values are not all of a push.
-  constexpr size_t Most = 2 * MaxPushBytes;
-  return decompress(bytes, Most).and_then([](const std::string &it) {
+  // A push is larger than its keys and values, which `MaxPushBytes` bounds.
+  constexpr size_t MaxBytes = 2 * MaxPushBytes;
+  return decompress(bytes, MaxBytes).and_then([](const std::string &it) {
     return decodePush(it);
   });
 }
@@ -188,12 +188,12 @@
   });
 }
 
-std::string encodeUnreachableReport(const UnreachableReport &doubt) {
+std::string encodeUnreachableReport(const UnreachableReport &report) {
   Packer out;
   out.list(4)
       .number(FormatVersion)
       .number(static_cast<uint64_t>(Kind::UnreachableReport));
-  out.number(doubt.Sender.Value).number(doubt.Backend.Value);
+  out.number(report.Sender.Value).number(report.Backend.Value);
   return out.take();
 }
 
@@ -205,7 +205,7 @@
       return PeerMessage(
           UnreachableReport{.Sender = readInstance(in),
                             .Backend = token::BackendId{in.number()}});
-    in.require(kind == static_cast<uint64_t>(Kind::News));
+    in.require(kind == static_cast<uint64_t>(Kind::Push));
     return PeerMessage(readPush(in));
   });
 }
--- a/lib/edge/PropagationTree.cpp
+++ b/lib/edge/PropagationTree.cpp
@@ -9,31 +9,34 @@
 
 namespace {
 
-// Patience in paces: the first of the zones, each further zone's first, then
-// the others. Steps are wide enough for a call and a push between them.
+// Staleness limits, in poll intervals: the first instance of the first zone has
+// 1, that of each further zone a step more, and the others follow. The steps
+// leave time for a call and a push.
 constexpr double ZoneStep = 0.5;
-constexpr double OthersFrom = 2.0;
+constexpr double FollowersFrom = 2.0;
 constexpr double RankStep = 0.25;
-constexpr size_t RanksApart = 4;
-// Behind them, each step of the tree: where an instance has died, those to whom
-// it would pass news on ask before those behind them do.
+// Ranks up to this one are a step apart. Behind them, limits grow with the
+// depth in the tree: if an instance has failed, its children ask before the
+// instances below them do.
+constexpr size_t LastRankStep = 4;
 constexpr double DepthStep = 0.5;
-// All that start for the first time have no place yet. The first of them that
-// asks tells the others, by way of a tree of three steps with a read in each.
-constexpr double SpreadOfUnplaced = 2;
-constexpr size_t Unplaced = std::numeric_limits<size_t>::max();
-// Whatever the place, a change has to be asked for in time to apply it.
-constexpr double MostOfApply = 0.75;
-// Those behind leave a registry that fails to those in front.
-constexpr double RestRetryFactor = 3;
-
-/// In the tree, the first of those to whom this one passes news on.
+// Instances that start for the first time have no rank yet. The first of them
+// that asks pushes the answer to the others, down a tree of three steps with a
+// read in each.
+constexpr double UnrankedJitter = 2;
+constexpr size_t Unranked = std::numeric_limits<size_t>::max();
+// At any rank, an instance has to ask for a change in time to apply it.
+constexpr double MaxShareOfApplyTime = 0.75;
+// Lower ranks leave the retries at a failing registry to the first instances.
+constexpr double FollowerRetryFactor = 3;
+
+/// Returns the rank of the first child in the tree.
 size_t firstChild(size_t rank) { return rank * PropagationTree::FanOut + 1; }
 
-/// The one that passes news on to this one; the first has none.
+/// Returns the rank of the parent in the tree; rank 0 has none.
 size_t parentOf(size_t rank) { return (rank - 1) / PropagationTree::FanOut; }
 
-/// Steps from the first of the zone.
+/// Returns the number of steps from the first instance of the zone.
 size_t depthOf(size_t rank) {
   size_t out = 0;
   for (; rank != 0; rank = parentOf(rank))
@@ -43,25 +46,25 @@
 
 } // namespace
 
-/// An instance in its zone's order.
-struct PropagationTree::Place {
+/// An instance with its sort key within its zone.
+struct PropagationTree::Member {
   uint64_t Order;
   PeerRecord Peer;
 };
 
 PropagationTree::PropagationTree(PropagationOptions options)
     : Options(std::move(options)) {
-  setStalenessLimit(0, Unplaced);
+  setStalenessLimit(0, Unranked);
 }
 
 void PropagationTree::learn(const std::map<InstanceId, PeerRecord> &peers) {
   bool known = peers.contains(Options.Self);
-  if (Placed && !known)
+  if (Ranked && !known)
     return;
-  Placed = known;
-  std::map<uint64_t, std::vector<Place>> zones;
+  Ranked = known;
+  std::map<uint64_t, std::vector<Member>> zones;
   uint64_t own = hashBytes(Options.Zone);
-  // Present even while its own record is not yet there.
+  // This instance is in the order even before its own record is there.
   zones[own].push_back({.Order = mixHash(1, Options.Self.Value),
                         .Peer = {.Id = Options.Self, .Zone = Options.Zone}});
   for (const auto &[id, peer] : peers)
@@ -72,38 +75,40 @@
   Heads.clear();
   Siblings.clear();
   size_t zoneRank = 0;
-  for (auto &[zone, places] : zones) {
-    std::sort(places.begin(), places.end(),
-              [](const Place &a, const Place &b) { return a.Order < b.Order; });
+  for (auto &[zone, members] : zones) {
+    std::sort(
+        members.begin(), members.end(),
+        [](const Member &a, const Member &b) { return a.Order < b.Order; });
     size_t heads = zone == own ? FanOut + 1 : HeadsPerOtherZone;
-    for (size_t n = 0; n < std::min(heads, places.size()); ++n)
-      if (places[n].Peer.Id != Options.Self)
-        Heads.push_back(places[n].Peer.Peers);
+    for (size_t n = 0; n < std::min(heads, members.size()); ++n)
+      if (members[n].Peer.Id != Options.Self)
+        Heads.push_back(members[n].Peer.Peers);
     if (zone == own) {
-      auto self = std::find_if(places.begin(), places.end(), [&](auto &it) {
+      auto self = std::find_if(members.begin(), members.end(), [&](auto &it) {
         return it.Peer.Id == Options.Self;
       });
-      auto rank = static_cast<size_t>(self - places.begin());
-      // Whoever the others don't know of yet is not their first.
-      setStalenessLimit(zoneRank, known ? rank : Unplaced);
-      append(places, firstChild(rank), Children);
+      auto rank = static_cast<size_t>(self - members.begin());
+      // An instance that the others don't know yet is not the first.
+      setStalenessLimit(zoneRank, known ? rank : Unranked);
+      appendRanks(members, firstChild(rank), Children);
       if (rank != 0)
-        append(places, firstChild(parentOf(rank)), Siblings);
+        appendRanks(members, firstChild(parentOf(rank)), Siblings);
     }
     ++zoneRank;
   }
 }
 
-/// Adds the other instances at `FanOut` ranks from the first one on.
-void PropagationTree::append(const std::vector<Place> &places, size_t first,
-                             std::vector<Address> &out) const {
-  for (size_t n = first; n < std::min(first + FanOut, places.size()); ++n)
-    if (places[n].Peer.Id != Options.Self)
-      out.push_back(places[n].Peer.Peers);
+/// Appends the addresses at `FanOut` ranks from `first` on, but this one's.
+void PropagationTree::appendRanks(const std::vector<Member> &members,
+                                  size_t first,
+                                  std::vector<Address> &out) const {
+  for (size_t n = first; n < std::min(first + FanOut, members.size()); ++n)
+    if (members[n].Peer.Id != Options.Self)
+      out.push_back(members[n].Peer.Peers);
 }
 
-/// Where this instance stands among others of the same place, from 0 to 1.
-double PropagationTree::share() const {
+/// Returns a fraction from 0 to 1 that differs between instances.
+double PropagationTree::jitter() const {
   constexpr uint64_t Steps = 1024;
   return static_cast<double>(mixHash(Options.Seed, Options.Self.Value) %
                              Steps) /
@@ -111,26 +116,28 @@
 }
 
 void PropagationTree::setStalenessLimit(size_t zoneRank, size_t rank) {
-  double paces = 1 + ZoneStep * static_cast<double>(zoneRank);
+  double intervals = 1 + ZoneStep * static_cast<double>(zoneRank);
   if (rank != 0) {
-    paces =
-        OthersFrom + RankStep * static_cast<double>(std::min(rank, RanksApart));
-    if (rank == Unplaced)
-      paces += SpreadOfUnplaced * share();
-    else if (rank > RanksApart)
-      paces += DepthStep * (static_cast<double>(depthOf(rank) - 1) + share());
+    intervals = FollowersFrom +
+                RankStep * static_cast<double>(std::min(rank, LastRankStep));
+    if (rank == Unranked)
+      intervals += UnrankedJitter * jitter();
+    else if (rank > LastRankStep)
+      intervals +=
+          DepthStep * (static_cast<double>(depthOf(rank) - 1) + jitter());
   }
-  StalenessLimit = std::min(
-      std::chrono::duration_cast<Duration>(Options.Pace * paces),
-      std::chrono::duration_cast<Duration>(Options.ApplyWithin * MostOfApply));
+  StalenessLimit =
+      std::min(std::chrono::duration_cast<Duration>(Options.Pace * intervals),
+               std::chrono::duration_cast<Duration>(Options.ApplyWithin *
+                                                    MaxShareOfApplyTime));
   RetryMax = rank == 0 ? Options.RetryMax
-                       : std::chrono::duration_cast<Duration>(Options.RetryMax *
-                                                              RestRetryFactor);
+                       : std::chrono::duration_cast<Duration>(
+                             Options.RetryMax * FollowerRetryFactor);
 }
 
-std::vector<Address> PropagationTree::targets(bool asked) const {
+std::vector<Address> PropagationTree::targets(bool fromRegistry) const {
   std::vector<Address> out = Children;
-  if (!asked)
+  if (!fromRegistry)
     return out;
   for (const std::vector<Address> *more : {&Heads, &Siblings})
     for (Address it : *more)
--- a/lib/edge/RouteHistory.cpp
+++ b/lib/edge/RouteHistory.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// Some 9 kB of a part, as much as a few registrations and far less than a
-// configuration with as many routes.
-constexpr size_t AddressesInPart = 256;
+// This many take about 9 kB, as much as a few registrations and far less than
+// a configuration with as many routes.
+constexpr size_t AddressesPerPart = 256;
 
 std::set<token::RoutePair> pairsOf(const RouteHistoryParts &stored) {
   std::set<token::RoutePair> out;
@@ -25,7 +25,7 @@
   std::set<token::RoutePair> out;
   std::set<Address> seen;
   for (const token::Route &it : routes.Routes) {
-    // The first match decides.
+    // The first route of an address decides.
     if (!seen.insert(it.Where).second)
       continue;
     for (const token::WeightedService &service : it.Services)
@@ -34,7 +34,7 @@
   return out;
 }
 
-/// Each pair of `wanted` stands in `record`.
+/// Returns whether `record` holds all pairs of `wanted`.
 bool holds(const RouteHistoryPart &record, const RouteHistoryPart &wanted) {
   std::set<token::RoutePair> have(record.Pairs.begin(), record.Pairs.end());
   return std::all_of(
@@ -45,7 +45,7 @@
 } // namespace
 
 uint32_t RouteHistory::partCount(size_t addresses) {
-  auto parts = std::bit_ceil(addresses / AddressesInPart + 1);
+  auto parts = std::bit_ceil(addresses / AddressesPerPart + 1);
   return static_cast<uint32_t>(std::min<size_t>(parts, MaxRouteHistoryParts));
 }
 
@@ -58,44 +58,46 @@
     return;
   Version = routes.Version;
   std::set<token::RoutePair> current = pairsOf(routes);
-  for (auto &[where, entries] : Pairs) {
+  for (auto &[where, entries] : EntriesByAddress) {
     for (Entry &it : entries) {
       if (current.erase({.Where = where, .Service = it.Service}) != 0)
-        it.LostAt.reset();
-      else if (!it.LostAt)
-        it.LostAt = now;
+        it.RemovedAt.reset();
+      else if (!it.RemovedAt)
+        it.RemovedAt = now;
     }
-    boundLost(entries);
+    limitFormerServices(entries);
   }
   for (const token::RoutePair &it : current)
-    Pairs[it.Where].push_back({.Service = it.Service, .LostAt = {}});
+    EntriesByAddress[it.Where].push_back(
+        {.Service = it.Service, .RemovedAt = {}});
 }
 
 void RouteHistory::learn(const RouteHistoryParts &stored, Duration maxFlowAge,
                          Time now) {
   std::set<token::RoutePair> recorded = pairsOf(stored);
-  for (auto &it : Pairs)
+  for (auto &it : EntriesByAddress)
     std::erase_if(it.second, [&](const Entry &entry) {
       bool kept =
           recorded.erase({.Where = it.first, .Service = entry.Service}) != 0;
       return !kept && expired(entry, maxFlowAge, now);
     });
   for (const token::RoutePair &it : recorded) {
-    Entries &entries = Pairs[it.Where];
-    entries.push_back({.Service = it.Service, .LostAt = now});
-    boundLost(entries);
+    Entries &entries = EntriesByAddress[it.Where];
+    entries.push_back({.Service = it.Service, .RemovedAt = now});
+    limitFormerServices(entries);
   }
-  std::erase_if(Pairs, [](const auto &it) { return it.second.empty(); });
+  std::erase_if(EntriesByAddress,
+                [](const auto &it) { return it.second.empty(); });
 }
 
-void RouteHistory::boundLost(Entries &entries) {
-  auto lost = [](const Entry &it) { return it.LostAt.has_value(); };
+void RouteHistory::limitFormerServices(Entries &entries) {
+  auto removed = [](const Entry &it) { return it.RemovedAt.has_value(); };
   while (static_cast<size_t>(std::count_if(entries.begin(), entries.end(),
-                                           lost)) > MaxFormerServices)
+                                           removed)) > MaxFormerServices)
     entries.erase(std::min_element(entries.begin(), entries.end(),
                                    [](const Entry &a, const Entry &b) {
-                                     return a.LostAt.value_or(Time::max()) <
-                                            b.LostAt.value_or(Time::max());
+                                     return a.RemovedAt.value_or(Time::max()) <
+                                            b.RemovedAt.value_or(Time::max());
                                    }));
 }
 
@@ -103,8 +105,8 @@
 RouteHistory::incompleteParts(const RouteHistoryParts &stored,
                               Duration maxFlowAge, Time now) const {
   std::map<uint32_t, RouteHistoryPart> wanted;
-  uint32_t parts = partCount(Pairs.size());
-  for (const auto &[where, entries] : Pairs) {
+  uint32_t parts = partCount(EntriesByAddress.size());
+  for (const auto &[where, entries] : EntriesByAddress) {
     RouteHistoryPart &record = wanted[partOf(where, parts)];
     for (const Entry &it : entries)
       if (!expired(it, maxFlowAge, now))
--- a/lib/edge/RouteHistoryWriter.cpp
+++ b/lib/edge/RouteHistoryWriter.cpp
@@ -17,17 +17,17 @@
 
 void RouteHistoryWriter::learn(const RouteHistoryParts &stored,
                                Duration maxFlowAge, Time now) {
-  Ledger.learn(stored, maxFlowAge, now);
-  Missing = Ledger.incompleteParts(stored, maxFlowAge, now);
-  Turn.learn(!Missing.empty(), newestOf(stored), now);
+  History.learn(stored, maxFlowAge, now);
+  Incomplete = History.incompleteParts(stored, maxFlowAge, now);
+  Schedule.learn(!Incomplete.empty(), newestOf(stored), now);
 }
 
 std::optional<RegistryCall> RouteHistoryWriter::next(Duration stalenessLimit,
                                                      Time now) {
   if (now < nextAt(stalenessLimit))
     return std::nullopt;
-  Turn.begin();
-  return Dialect.writeRouteHistory(Missing);
+  Schedule.begin();
+  return Dialect.writeRouteHistory(Incomplete);
 }
 
 } // namespace chicory::edge
--- a/lib/edge/StaggeredWrite.cpp
+++ b/lib/edge/StaggeredWrite.cpp
@@ -7,18 +7,18 @@
 
 namespace chicory::edge {
 
-void StaggeredWrite::learn(bool missing, Position storedAsOf, Time now) {
+void StaggeredWrite::learn(bool missing, Position storedAt, Time now) {
   bool before = std::exchange(Missing, missing);
-  // While things go on changing there is always something missing; whoever
-  // writes must not be joined by all who stand behind.
-  bool written = std::exchange(StoredAsOf, storedAsOf) != storedAsOf;
-  if (!before || written)
+  // While changes continue, data is always missing. The delay starts anew after
+  // each write, so that one instance writes and the others don't join it.
+  bool changed = std::exchange(StoredAt, storedAt) != storedAt;
+  if (!before || changed)
     MissingSince = now;
-  Overtaken = Overtaken && !written;
+  RefusedAsStale = RefusedAsStale && !changed;
 }
 
 Time StaggeredWrite::dueAt(Duration stalenessLimit) const {
-  if (Waiting || !Missing || Overtaken)
+  if (Waiting || !Missing || RefusedAsStale)
     return Time::max();
   return std::max(NotBefore, MissingSince + Times.SettleTime +
                                  stalenessLimit * Times.StalenessLimitFactor);
@@ -27,7 +27,8 @@
 void StaggeredWrite::answered(const NewsAnswer &answer, Time now) {
   Waiting = false;
   NotBefore = now + Times.RetryAfter;
-  Overtaken = answer.Status == HttpPreconditionFailed && StoredAsOf == SentAsOf;
+  RefusedAsStale =
+      answer.Status == HttpPreconditionFailed && StoredAt == StoredAtSend;
   if (answer.Status == HttpOk)
     ++Stats.Written;
   else if (answer.Status == HttpPreconditionFailed)
--- a/lib/edge/UnreachableReportFilter.cpp
+++ b/lib/edge/UnreachableReportFilter.cpp
@@ -3,12 +3,12 @@
 namespace chicory::edge {
 
 bool UnreachableReportFilter::shouldForward(token::BackendId id, Time now) {
-  std::erase_if(Told, [&](const auto &it) {
+  std::erase_if(ForwardedAt, [&](const auto &it) {
     return now - it.second >= DeduplicationWindow;
   });
-  if (Told.size() >= MaxReports)
+  if (ForwardedAt.size() >= MaxReports)
     return false;
-  return Told.try_emplace(id, now).second;
+  return ForwardedAt.try_emplace(id, now).second;
 }
 
 } // namespace chicory::edge
