--- a/include/chicorybank/edge/StaggeredWrite.h
+++ b/include/chicorybank/edge/StaggeredWrite.h
@@ -19,11 +19,10 @@
 
 /// Delays of a staggered write.
 struct StaggeredWriteTimes {
-  /// How long data has to be missing before the first instance writes it.
-  /// Changes come in bursts of several a second, and a write for each would be
-  /// wasted.
+  /// The part of the delay that all instances have in common. Changes come in
+  /// bursts of several a second, and a write for each would be wasted.
   Duration SettleTime = std::chrono::seconds(1);
-  /// An instance waits for its staleness limit times this factor in addition.
+  /// Each instance waits in addition for its staleness limit times this factor.
   int StalenessLimitFactor = 2;
   /// The delay before a failed write is retried, and before a refused one is
   /// once the cache has changed.
@@ -54,7 +53,7 @@
     StoredAtSend = StoredAt;
   }
   void answered(const NewsAnswer &answer, Time now);
-  /// Sets the delay of the first instance.
+  /// Sets the part of the delay that all instances have in common.
   void setSettleTime(Duration time) { Times.SettleTime = time; }
 
   const WriteStats &stats() const { return Stats; }
--- a/lib/edge/InstanceRegistrar.cpp
+++ b/lib/edge/InstanceRegistrar.cpp
@@ -85,8 +85,8 @@
   if (!item || item->Lease == 0)
     return;
   Findings ignored;
-  News news = Dialect.translate(*item, ignored);
-  const auto *record = std::get_if<PeerRecord>(&news);
+  News content = Dialect.translate(*item, ignored);
+  const auto *record = std::get_if<PeerRecord>(&content);
   Lease = item->Lease;
   LeaseGeneration = answer.Generation;
   State = record && *record == Self ? Phase::Renewing : Phase::Writing;
--- a/tests/CompressionTest.cpp
+++ b/tests/CompressionTest.cpp
@@ -8,12 +8,12 @@
 
 class CompressionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CompressionTest);
-  CPPUNIT_TEST(comesOutAsItWentIn);
+  CPPUNIT_TEST(restoresTheInput);
   CPPUNIT_TEST(refusesDamagedBytes);
-  CPPUNIT_TEST(makesNoRoomForMoreThanAsked);
+  CPPUNIT_TEST(limitsTheOutput);
   CPPUNIT_TEST_SUITE_END();
 
-  void comesOutAsItWentIn() {
+  void restoresTheInput() {
     property("any bytes", [] {
       auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
       auto out = decompress(compress(bytes), bytes.size());
@@ -21,13 +21,14 @@
       RC_ASSERT(*out == bytes);
     });
     std::string large(1'000'000, 'x');
-    expectTrue(compress(large).size() < large.size() / 100, "what repeats");
+    expectTrue(compress(large).size() < large.size() / 100,
+               "repetitions are compressed");
     expectTrue(decompress(compress(large), large.size()) == large,
-               "in several steps");
+               "output of several steps");
   }
 
   void refusesDamagedBytes() {
-    property("cut, changed or continued bytes", [] {
+    property("truncated, changed or extended bytes", [] {
       std::string bytes = compress("servers/i-1 servers/i-2");
       std::string cut = bytes.substr(0, bytes.size() - 1);
       RC_ASSERT(!decompress(cut, 100));
@@ -36,14 +37,14 @@
       bytes[at] = *rc::gen::arbitrary<char>();
       decompress(bytes, 100);
     });
-    expectTrue(!decompress({}, 100), "nothing at all");
+    expectTrue(!decompress({}, 100), "empty input");
   }
 
-  // Guards against a small message that takes all memory.
-  void makesNoRoomForMoreThanAsked() {
+  // Guards against a small message that exhausts the memory.
+  void limitsTheOutput() {
     std::string bytes = compress(std::string(1'000'000, 'x'));
-    expectTrue(!decompress(bytes, 999'999), "one byte too many");
-    expectTrue(decompress(bytes, 1'000'000).has_value(), "just enough");
+    expectTrue(!decompress(bytes, 999'999), "one byte above the limit");
+    expectTrue(decompress(bytes, 1'000'000).has_value(), "at the limit");
   }
 };
 
--- a/tests/DirectoryWriterTest.cpp
+++ b/tests/DirectoryWriterTest.cpp
@@ -1,4 +1,4 @@
-// Who writes the directory, when, and what.
+// Tests when an instance writes the directory, and which parts.
 
 #include "chicorybank/edge/DirectoryWriter.h"
 
@@ -12,27 +12,27 @@
 
 namespace {
 
-/// An instance's copy, and its writer.
-struct Writing {
+/// The local cache of an instance, and its writer.
+struct Fixture {
   platform::StoreDialect Dialect;
-  Mirror Copy{Dialect};
+  Mirror Cache{Dialect};
   DirectoryWriter Writer{Dialect};
   DirectoryNote Stored;
   Findings Faults;
-  /// Bytes of all calls.
+  /// Bytes of all write calls.
   size_t Written = 0;
 
   void read(const Store &store, Time now) {
-    Copy.replaceAll(store.list(), Faults);
+    Cache.replaceAll(store.list(), Faults);
     if (const Item *note = store.item("chicorybank/start/digests")) {
-      News news = Dialect.translate(*note, Faults);
-      Stored = std::get<DirectoryNote>(news);
+      News content = Dialect.translate(*note, Faults);
+      Stored = std::get<DirectoryNote>(content);
     }
-    Writer.learn(Copy, Stored, now);
+    Writer.learn(Cache, Stored, now);
   }
-  /// Makes the write that is due; false where none is.
+  /// Makes the write that is due; returns false if there is none.
   bool write(Store &store, Time now) {
-    auto call = Writer.next(Copy, 500ms, now);
+    auto call = Writer.next(Cache, 500ms, now);
     if (!call)
       return false;
     Written += call->Body.size();
@@ -45,36 +45,37 @@
 
 class DirectoryWriterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DirectoryWriterTest);
-  CPPUNIT_TEST(writesWhatIsMissing);
+  CPPUNIT_TEST(writesMissingParts);
   CPPUNIT_TEST(writesNothingForRenewals);
-  CPPUNIT_TEST(writesSeldomWhereItIsLarge);
-  CPPUNIT_TEST(writesThePartsThatChanged);
+  CPPUNIT_TEST(limitsTheWriteRate);
+  CPPUNIT_TEST(writesChangedPartsOnly);
   CPPUNIT_TEST_SUITE_END();
 
-  void writesWhatIsMissing() {
+  void writesMissingParts() {
     Store store;
     store.server(1);
-    Writing one;
+    Fixture one;
     one.read(store, Start);
-    expectTrue(!one.write(store, Start + 1s), "the first in line waits");
+    expectTrue(!one.write(store, Start + 1s), "even the first instance waits");
     expectTrue(one.write(store, Start + 2s), "and writes");
     one.read(store, Start + 3s);
     expectTrue(one.Writer.nextAt(500ms) == Time::max(), "nothing is missing");
     section("a server drains", [&] {
       store.server(1, "draining");
       one.read(store, Start + 10s);
-      expectTrue(one.write(store, Start + 12s), "it is written again");
+      expectTrue(one.write(store, Start + 12s), "its part is written again");
       auto bytes = store.item("chicorybank/start/zones/a")->Value;
       auto servers = decodeDirectory(bytes);
-      expectTrue(servers && servers->Servers.at(0).Draining, "as it is now");
+      expectTrue(servers && servers->Servers.at(0).Draining,
+                 "with the current state");
     });
-    section("a late write of a former first in line", [&] {
+    section("a late write of a previous first instance", [&] {
       one.read(store, Start + 13s);
       store.put("chicorybank/start/digests", R"({"a":1})");
       one.read(store, Start + 14s);
-      expectTrue(one.write(store, Start + 16s), "does not stay");
+      expectTrue(one.write(store, Start + 16s), "is replaced");
     });
-    section("its write holds only where nobody else has written", [&] {
+    section("a write succeeds only if no other instance has written", [&] {
       RegistryCall call = one.Dialect.writeDirectory(
           {.Digests = {{"a", 5}}, .At = {.Revision = 77}}, {{"a", "x"}});
       expectTrue(
@@ -85,11 +86,12 @@
     });
   }
 
-  // Pattern: 600 servers renew their registrations 500 times a second.
+  // 600 servers renew their registrations 500 times a second. This must not
+  // cause writes.
   void writesNothingForRenewals() {
     Store store;
     store.server(1);
-    Writing one;
+    Fixture one;
     one.read(store, Start);
     one.write(store, Start + 2s);
     for (int n = 0; n < 100; ++n) {
@@ -99,16 +101,16 @@
     }
   }
 
-  // Pattern: at 5,000 servers some register or end every second. Whoever
-  // watches reads back what is written.
-  void writesSeldomWhereItIsLarge() {
+  // With 5,000 servers, some register or end every second, and the watching
+  // instance reads back what is written.
+  void limitsTheWriteRate() {
     Store store;
     for (uint64_t n = 1; n <= 5000; ++n)
       store.put("servers/i-" + std::to_string(n),
                 R"({"service":"s","address":"10.0.)" + std::to_string(n / 250) +
                     "." + std::to_string(n % 250 + 1) +
                     R"(:80","zone":"a","slots":2,"state":"ready"})");
-    Writing one;
+    Fixture one;
     int written = 0;
     for (int n = 0; n < 60; ++n) {
       store.server(static_cast<uint64_t>(n) + 1, "draining");
@@ -116,21 +118,21 @@
       written += one.write(store, Start + n * 1s) ? 1 : 0;
     }
     expectTrue(written >= 5, std::to_string(written) + " in a minute");
-    // Of the bytes that it has written, a quarter is base64.
+    // A quarter of the written bytes is overhead of base64.
     expectTrue(one.Written * 3 / 4 <=
                    size_t{60} * DirectoryWriter::BytesPerSecond,
                std::to_string(one.Written) + " bytes in a minute");
   }
 
-  // Guards against a directory that is written whole for a change in one zone,
-  // and against servers that stay in it after the last of their zone has ended.
-  void writesThePartsThatChanged() {
+  // Guards against a write of the whole directory for a change in one zone, and
+  // against servers that stay in it after the last of their zone has ended.
+  void writesChangedPartsOnly() {
     Store store;
     store.server(1);
     store.put(
         "servers/i-2",
         R"({"service":"s","address":"10.0.0.2:80","zone":"b","slots":2,"state":"ready"})");
-    Writing one;
+    Fixture one;
     one.read(store, Start);
     one.write(store, Start + 2s);
     one.read(store, Start + 3s);
@@ -138,17 +140,17 @@
     section("a change in one zone", [&] {
       store.server(1, "draining");
       one.read(store, Start + 10s);
-      expectTrue(one.write(store, Start + 12s), "is written");
+      expectTrue(one.write(store, Start + 12s), "its part is written");
       expectEqual<int64_t>(
           revision, store.item("chicorybank/start/zones/b")->At.Revision);
     });
-    section("a zone's last server ends", [&] {
+    section("the last server of a zone ends", [&] {
       store.remove("servers/i-2");
       one.read(store, Start + 20s);
-      expectTrue(one.write(store, Start + 22s), "it is written");
+      expectTrue(one.write(store, Start + 22s), "its part is written");
       auto bytes = store.item("chicorybank/start/zones/b")->Value;
       auto servers = decodeDirectory(bytes);
-      expectTrue(servers && servers->Servers.empty(), "nothing is left of it");
+      expectTrue(servers && servers->Servers.empty(), "the part is empty");
       one.read(store, Start + 23s);
       expectTrue(one.Writer.nextAt(500ms) == Time::max(), "nothing is missing");
     });
--- a/tests/FragmentAssemblerTest.cpp
+++ b/tests/FragmentAssemblerTest.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-std::vector<Fragment> pieces(uint32_t sender, uint64_t message,
-                             const std::string &text) {
+std::vector<Fragment> fragments(uint32_t sender, uint64_t message,
+                                const std::string &text) {
   std::vector<Fragment> out;
   for (size_t n = 0; n < text.size(); ++n)
     out.push_back({.Sender = InstanceId{sender},
@@ -26,29 +26,29 @@
 
 class FragmentAssemblerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FragmentAssemblerTest);
-  CPPUNIT_TEST(putsPiecesTogetherInAnyOrder);
-  CPPUNIT_TEST(forgetsAMessageThatLostAPiece);
+  CPPUNIT_TEST(reassemblesFragmentsInAnyOrder);
+  CPPUNIT_TEST(dropsIncompleteMessageWhenTheNextBegins);
   CPPUNIT_TEST(keepsSendersApart);
-  CPPUNIT_TEST(holdsNoMoreThanItSays);
-  CPPUNIT_TEST(refusesAPieceOutsideItsMessage);
+  CPPUNIT_TEST(boundsTheNumberOfSenders);
+  CPPUNIT_TEST(refusesFragmentOutsideItsMessage);
   CPPUNIT_TEST_SUITE_END();
 
-  void putsPiecesTogetherInAnyOrder() {
-    property("any order, any repetition", [] {
-      std::vector<Fragment> all = pieces(1, 1, "abcde");
+  void reassemblesFragmentsInAnyOrder() {
+    property("any order and repetition", [] {
+      std::vector<Fragment> all = fragments(1, 1, "abcde");
       auto extra = *rc::gen::container<std::vector<size_t>>(
           rc::gen::inRange<size_t>(0, 4));
       auto order = *rc::gen::container<std::vector<int>>(
           5, rc::gen::inRange<int>(0, 100));
-      std::vector<size_t> turns = {0, 1, 2, 3, 4};
-      std::sort(turns.begin(), turns.end(), [&](size_t a, size_t b) {
+      std::vector<size_t> sequence = {0, 1, 2, 3, 4};
+      std::sort(sequence.begin(), sequence.end(), [&](size_t a, size_t b) {
         return std::pair(order[a], a) < std::pair(order[b], b);
       });
       FragmentAssembler assembler;
       for (size_t it : extra)
         RC_ASSERT(!assembler.add(all[it]));
       std::optional<std::string> out;
-      for (size_t it : turns) {
+      for (size_t it : sequence) {
         RC_ASSERT(!out);
         out = assembler.add(all[it]);
         if (out)
@@ -58,38 +58,40 @@
     });
   }
 
-  void forgetsAMessageThatLostAPiece() {
+  void dropsIncompleteMessageWhenTheNextBegins() {
     FragmentAssembler assembler;
-    assembler.add(pieces(1, 1, "ab")[0]);
-    assembler.add(pieces(1, 2, "cd")[0]);
-    expectTrue(!assembler.add(pieces(1, 1, "ab")[1]), "the old one is gone");
-    assembler.add(pieces(1, 3, "ef")[1]);
-    expectTrue(assembler.add(pieces(1, 3, "ef")[0]) == "ef", "the newest");
+    assembler.add(fragments(1, 1, "ab")[0]);
+    assembler.add(fragments(1, 2, "cd")[0]);
+    expectTrue(!assembler.add(fragments(1, 1, "ab")[1]),
+               "the old message is dropped");
+    assembler.add(fragments(1, 3, "ef")[1]);
+    expectTrue(assembler.add(fragments(1, 3, "ef")[0]) == "ef",
+               "the newest message");
   }
 
   void keepsSendersApart() {
     FragmentAssembler assembler;
-    assembler.add(pieces(1, 1, "ab")[0]);
-    assembler.add(pieces(2, 1, "xy")[0]);
-    expectTrue(assembler.add(pieces(1, 1, "ab")[1]) == "ab", "the first's");
-    expectTrue(assembler.add(pieces(2, 1, "xy")[1]) == "xy", "the second's");
+    assembler.add(fragments(1, 1, "ab")[0]);
+    assembler.add(fragments(2, 1, "xy")[0]);
+    expectTrue(assembler.add(fragments(1, 1, "ab")[1]) == "ab", "first sender");
+    expectTrue(assembler.add(fragments(2, 1, "xy")[1]) == "xy",
+               "second sender");
   }
 
-  // Symptom: memory grows with stray datagrams.
-  // Sequence: pieces from ever new senders, never whole.
-  // Cause: unfinished messages kept for all of them.
-  void holdsNoMoreThanItSays() {
+  // Guards against memory that grows with stray datagrams: incomplete messages
+  // of ever new senders must not all be kept.
+  void boundsTheNumberOfSenders() {
     FragmentAssembler assembler;
     constexpr uint32_t Senders = FragmentAssembler::MaxSenders + 1;
     for (uint32_t n = 1; n <= Senders; ++n)
-      assembler.add(pieces(n, 1, "ab")[0]);
-    expectTrue(!assembler.add(pieces(1, 1, "ab")[1]),
-               "the one that waited longest was forgotten");
-    expectTrue(assembler.add(pieces(Senders, 1, "ab")[1]) == "ab",
-               "the newest was kept");
+      assembler.add(fragments(n, 1, "ab")[0]);
+    expectTrue(!assembler.add(fragments(1, 1, "ab")[1]),
+               "the least recently used sender was dropped");
+    expectTrue(assembler.add(fragments(Senders, 1, "ab")[1]) == "ab",
+               "the newest sender was kept");
   }
 
-  void refusesAPieceOutsideItsMessage() {
+  void refusesFragmentOutsideItsMessage() {
     FragmentAssembler assembler;
     Fragment wrong{.Sender = InstanceId{1}, .Index = 3, .Count = 2};
     expectTrue(!assembler.add(wrong), "refused");
--- a/tests/InstanceRegistrarTest.cpp
+++ b/tests/InstanceRegistrarTest.cpp
@@ -12,7 +12,7 @@
 constexpr auto OwnRecord =
     "/-/kv-key?key=chicorybank/instances/0.0.0.1&serializable=1";
 
-/// The answer with the record that a former process left, under lease 9.
+/// Returns an answer with the record of the previous process, under lease 9.
 std::string record(bool leaving) {
   std::string value = R"({"zone":"a","peers":"0.0.0.1:2")";
   value += leaving ? R"(,"leaving":true})" : "}";
@@ -20,12 +20,12 @@
                     9);
 }
 
-struct Announcing {
+struct Fixture {
   InstanceRegistrar Record{
       Dialect, {.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}}, {}};
   Time Now = Start;
 
-  /// The target of the call that is due; it gets this answer.
+  /// Answers the call that is due, and returns its target.
   std::string step(int status, const std::string &body = "{}") {
     auto call = Record.next(Now);
     if (!call)
@@ -33,13 +33,13 @@
     Record.answered({.Status = status, .Body = body}, Now);
     return call->Target;
   }
-  /// There is no record of a former process.
-  Announcing &fresh() {
+  /// Answers that there is no record of a previous process.
+  Fixture &skipFormerRecord() {
     step(404);
     return *this;
   }
   void announce() {
-    fresh();
+    skipFormerRecord();
     step(Ok, R"({"lease":5})");
     step(Ok);
   }
@@ -49,51 +49,51 @@
 
 class InstanceRegistrarTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(InstanceRegistrarTest);
-  CPPUNIT_TEST(leasesWritesAndRenews);
-  CPPUNIT_TEST(beginsAnewWhenTheLeaseHasEnded);
-  CPPUNIT_TEST(writesAgainWhenTheRecordWasTakenAway);
-  CPPUNIT_TEST(waitsForACopyThatCanHaveTheRecord);
-  CPPUNIT_TEST(triesAgainLater);
-  CPPUNIT_TEST(saysThatItLeaves);
-  CPPUNIT_TEST(takesOverTheRecordOfAFormerProcess);
-  CPPUNIT_TEST(writesTheRecordOfAFormerProcessThatLeft);
-  CPPUNIT_TEST(beginsAnewAfterAnOldRecord);
-  CPPUNIT_TEST(looksItsLeaseUpAfterARestore);
-  CPPUNIT_TEST(givesUpALeaseThatARestoreMayHaveGivenToAnother);
+  CPPUNIT_TEST(createsLeaseWritesRecordAndRenews);
+  CPPUNIT_TEST(createsNewLeaseAfterLeaseEnded);
+  CPPUNIT_TEST(rewritesRemovedRecord);
+  CPPUNIT_TEST(ignoresCacheFromBeforeTheWrite);
+  CPPUNIT_TEST(retriesAfterDelay);
+  CPPUNIT_TEST(marksRecordAsLeaving);
+  CPPUNIT_TEST(takesOverRecordAndLeaseAfterRestart);
+  CPPUNIT_TEST(rewritesRecordMarkedAsLeaving);
+  CPPUNIT_TEST(createsNewLeaseAfterStaleRead);
+  CPPUNIT_TEST(rereadsRecordAfterRestore);
+  CPPUNIT_TEST(dropsLeaseFromBeforeRestore);
   CPPUNIT_TEST_SUITE_END();
 
-  void looksItsLeaseUpAfterARestore() {
-    Announcing it;
+  void rereadsRecordAfterRestore() {
+    Fixture it;
     it.announce();
     it.Record.registryRestored();
     expectEqual<std::string>("", it.step(Ok));
     it.Now += RegistrarTimes{}.RenewInterval;
-    section("with its next renewal, by a read that is not old", [&] {
+    section("with its next renewal, by a current read", [&] {
       expectEqual<std::string>("/-/kv-key?key=chicorybank/instances/0.0.0.1",
                                it.step(Ok, record(false)));
       expectEqual<std::string>("/-/kv-keep/9", it.step(Ok));
     });
-    section("a record that is lost is written anew", [&] {
+    section("a lost record is written again", [&] {
       it.Record.registryRestored();
       it.Now += RegistrarTimes{}.RenewInterval;
       it.step(404);
       expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
       expectEqual<std::string>("/-/kv-txn", it.step(Ok));
     });
-    section("and one that leaves meanwhile sends no lease", [&] {
+    section("an instance that leaves meanwhile does not end the lease", [&] {
       it.Record.registryRestored();
-      expectTrue(!it.Record.leave(), "it may be another's");
+      expectTrue(!it.Record.leave(), "it may belong to another instance");
     });
   }
 
-  // Symptom: an instance renews the lease of another one, for good.
-  // Sequence: it creates a lease; the registry is restored from before that and
+  // Guards against an instance that renews the lease of another one for good.
+  // It creates a lease; the registry is restored to a state before that and
   // gives the same number to another instance; the first one writes its record
-  // under it, and finds it there when it looks.
-  // Cause: a lease known by its number alone.
-  void givesUpALeaseThatARestoreMayHaveGivenToAnother() {
-    Announcing it;
-    it.fresh();
+  // under that lease and finds it there. So the number alone does not identify
+  // a lease.
+  void dropsLeaseFromBeforeRestore() {
+    Fixture it;
+    it.skipFormerRecord();
     auto answer = [&](uint64_t generation, const std::string &body) {
       auto call = it.Record.next(it.Now);
       it.Record.answered(
@@ -107,9 +107,9 @@
     expectEqual<std::string>("/-/kv-lease", answer(2, R"({"lease":6})"));
   }
 
-  void leasesWritesAndRenews() {
-    Announcing it;
-    it.fresh();
+  void createsLeaseWritesRecordAndRenews() {
+    Fixture it;
+    it.skipFormerRecord();
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":5})"));
     expectEqual<std::string>("/-/kv-txn", it.step(Ok));
     expectEqual<std::string>("", it.step(Ok));
@@ -117,22 +117,22 @@
     expectEqual<std::string>("/-/kv-keep/5", it.step(Ok));
   }
 
-  // Symptom: an instance is missing in the others' order for good.
-  // Sequence: it is paused for longer than its lease, then goes on.
-  // Cause: it goes on renewing a lease that has ended.
-  void beginsAnewWhenTheLeaseHasEnded() {
-    Announcing it;
+  // Guards against an instance that stays missing from the propagation tree: it
+  // is suspended for longer than its lease, and then keeps renewing the lease
+  // that has ended.
+  void createsNewLeaseAfterLeaseEnded() {
+    Fixture it;
     it.announce();
     it.Now += RegistrarTimes{}.RenewInterval;
     expectEqual<std::string>("/-/kv-keep/5", it.step(404));
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
   }
 
-  // Symptom: as above, and renewals succeed all the while.
-  // Sequence: the registry takes the key away and keeps the lease.
-  // Cause: a renewed lease taken for a record that is there.
-  void writesAgainWhenTheRecordWasTakenAway() {
-    Announcing it;
+  // Guards against the same symptom while renewals succeed: the registry has
+  // removed the key and kept the lease, so a renewed lease does not prove that
+  // the record exists.
+  void rewritesRemovedRecord() {
+    Fixture it;
     it.announce();
     it.Now += 1s;
     it.Record.checkRecord(nullptr, it.Now);
@@ -142,22 +142,20 @@
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
   }
 
-  // Symptom: a third of all instances write their record twice when a
-  // deployment starts.
-  // Sequence: the first news after the start comes five seconds late, with the
-  // copy as of the start.
-  // Cause: the age of the copy not taken into account.
-  void waitsForACopyThatCanHaveTheRecord() {
-    Announcing it;
+  // When a deployment starts, the first update may come five seconds late, with
+  // the state as of the start. Without regard to the age of the cache, a third
+  // of all instances would write their record twice.
+  void ignoresCacheFromBeforeTheWrite() {
+    Fixture it;
     it.announce();
     it.Now += 4200ms;
     it.Record.checkRecord(nullptr, it.Now - 4100ms);
     expectEqual<std::string>("", it.step(Ok));
   }
 
-  void triesAgainLater() {
-    Announcing it;
-    it.fresh();
+  void retriesAfterDelay() {
+    Fixture it;
+    it.skipFormerRecord();
     expectEqual<std::string>("/-/kv-lease", it.step(503));
     expectEqual<std::string>("", it.step(Ok));
     it.Now += 1500ms;
@@ -166,51 +164,52 @@
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
   }
 
-  void saysThatItLeaves() {
-    Announcing it;
-    expectTrue(!it.Record.leave(), "there is none");
-    Announcing other;
+  void marksRecordAsLeaving() {
+    Fixture it;
+    expectTrue(!it.Record.leave(), "there is no record");
+    Fixture other;
     other.announce();
     auto last = other.Record.leave();
     expectEqual<std::string>("/-/kv-txn", last->Target);
-    section("its record says that it leaves, and goes with its lease", [&] {
+    section("its record says that it leaves, and ends with its lease", [&] {
       PeerRecord self{.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}};
       self.Leaving = true;
       expectEqual(Dialect.announce(self, 5).Body, last->Body);
       self.Leaving = false;
-      expectTrue(Dialect.announce(self, 5).Body != last->Body, "as told");
+      expectTrue(Dialect.announce(self, 5).Body != last->Body,
+                 "the record differs");
     });
     other.Now += 10s;
     expectEqual<std::string>("", other.step(Ok));
     section("a lease without a record is ended", [] {
-      Announcing early;
-      early.fresh();
+      Fixture early;
+      early.skipFormerRecord();
       early.step(Ok, R"({"lease":6})");
       expectEqual<std::string>("/-/kv-lease-end/6",
                                early.Record.leave()->Target);
     });
   }
 
-  // Pattern: of 735 starts in a day, most come back at their address within the
-  // lease's eight seconds. Grounds: a lease and a record are two writes at full
-  // price; reading the record and renewing its lease cost a tenth each.
-  void takesOverTheRecordOfAFormerProcess() {
-    Announcing it;
+  // Of 735 starts in a day, most are restarts at the same address within the
+  // eight seconds of the lease. A new lease and record are two writes at full
+  // cost; reading the record and renewing its lease cost a tenth each.
+  void takesOverRecordAndLeaseAfterRestart() {
+    Fixture it;
     expectEqual<std::string>(OwnRecord, it.step(Ok, record(false)));
     expectEqual<std::string>("/-/kv-keep/9", it.step(Ok));
     it.Now += RegistrarTimes{}.RenewInterval;
     expectEqual<std::string>("/-/kv-keep/9", it.step(Ok));
   }
 
-  // Symptom: after a planned restart nobody passes news on to an instance.
-  // Sequence: its former process wrote that it leaves; it takes the lease over.
-  // Cause: a record that stands taken for one that says what it should.
-  void writesTheRecordOfAFormerProcessThatLeft() {
-    Announcing it;
+  // Guards against an instance that gets no updates after a planned restart.
+  // Its previous process marked the record as leaving. The new one takes over
+  // the lease, and has to rewrite a record that exists but is marked.
+  void rewritesRecordMarkedAsLeaving() {
+    Fixture it;
     it.step(Ok, record(true));
     expectEqual<std::string>("/-/kv-txn", it.step(Ok));
-    section("the copy that was read was older than the mark", [] {
-      Announcing late;
+    section("the stale read was from before the mark", [] {
+      Fixture late;
       late.step(Ok, record(false));
       expectEqual<std::string>("/-/kv-keep/9", late.step(Ok));
       PeerRecord leaving{.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}};
@@ -222,20 +221,20 @@
     });
   }
 
-  // The copy may show a record whose lease has ended since.
-  void beginsAnewAfterAnOldRecord() {
-    Announcing it;
+  // A stale read may return a record whose lease has ended since.
+  void createsNewLeaseAfterStaleRead() {
+    Fixture it;
     it.step(Ok, record(false));
     expectEqual<std::string>("/-/kv-keep/9", it.step(404));
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":10})"));
-    section("so may one that says that it leaves", [] {
-      Announcing left;
+    section("the record may be marked as leaving", [] {
+      Fixture left;
       left.step(Ok, record(true));
       expectEqual<std::string>("/-/kv-txn", left.step(404));
       expectEqual<std::string>("/-/kv-lease", left.step(Ok, "{}"));
     });
-    section("or that can't be read", [] {
-      Announcing bad;
+    section("or be unreadable", [] {
+      Fixture bad;
       bad.step(Ok, "no item");
       expectEqual<std::string>("/-/kv-lease", bad.step(Ok, "{}"));
     });
--- a/tests/PeerMessagesTest.cpp
+++ b/tests/PeerMessagesTest.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A value that no compression makes smaller.
-std::string noise(size_t bytes) {
+/// Returns a value that can't be compressed.
+std::string randomBytes(size_t bytes) {
   std::mt19937 random(1);
   std::uniform_int_distribution<int> byte(0, 255);
   std::string out;
@@ -21,8 +21,8 @@
   return out;
 }
 
-/// Registrations of so many servers that have just started, as they stand in
-/// the registry.
+/// Returns a push with the registrations of `count` servers that have just
+/// started, as the registry has them.
 UpdatePush registrations(size_t count) {
   std::mt19937_64 random(2);
   UpdatePush out{.Sender = InstanceId{7}};
@@ -53,7 +53,7 @@
                  .Digest = 0xfedcba9876543210};
   out.Page.At = {.Generation = Generation{3}, .Revision = 42};
   out.Page.Items = {{.Key = "servers/i-1",
-                     .Value = noise(valueBytes),
+                     .Value = randomBytes(valueBytes),
                      .At = {.Generation = Generation{3}, .Revision = 41},
                      .Created = 11},
                     {.Key = "servers/i-2",
@@ -66,25 +66,24 @@
 
 class PeerMessagesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerMessagesTest);
-  CPPUNIT_TEST(comesOutAsItWentIn);
-  CPPUNIT_TEST(leavesOutWhatDoesNotFit);
+  CPPUNIT_TEST(restoresAPush);
+  CPPUNIT_TEST(omitsItemsThatDoNotFit);
   CPPUNIT_TEST(refusesDamagedBytes);
-  CPPUNIT_TEST(splitsWhatIsTooLargeForADatagram);
-  CPPUNIT_TEST(leavesOutWhatNeedsTooManyDatagrams);
+  CPPUNIT_TEST(splitsLargePushIntoFragments);
+  CPPUNIT_TEST(omitsItemsThatNeedTooManyFragments);
   CPPUNIT_TEST(refusesDamagedFragments);
-  CPPUNIT_TEST(carriesADoubt);
-  CPPUNIT_TEST(believesNoLengthThatCannotBe);
-  CPPUNIT_TEST(carriesAPageOfEverything);
-  CPPUNIT_TEST(pushesWhatAFleetRegistersInAPace);
-  CPPUNIT_TEST(servesLargePagesOverSmallLinks);
-  CPPUNIT_TEST(sendsNoMoreAtOnceThanALinkTakes);
+  CPPUNIT_TEST(restoresAnUnreachableReport);
+  CPPUNIT_TEST(refusesImpossibleLengths);
+  CPPUNIT_TEST(restoresAPage);
+  CPPUNIT_TEST(pushesTheRegistrationsOfAPollInterval);
+  CPPUNIT_TEST(keepsPagesSmallEnoughForALink);
+  CPPUNIT_TEST(limitsBurstsToWhatALinkCarries);
   CPPUNIT_TEST_SUITE_END();
 
-  // Symptom: an instance runs out of memory.
-  // Sequence: a stray datagram of 18 bytes whose last part claims to be a map
-  // of 3.7 billion entries; a list or a text that claims as much.
-  // Cause: room made for what a message claims to hold.
-  void believesNoLengthThatCannotBe() {
+  // Guards against an instance that runs out of memory because it allocates
+  // what a message claims to hold: a stray datagram of 18 bytes ends in a map
+  // that claims 3.7 billion entries, or a list or text claims as much.
+  void refusesImpossibleLengths() {
     using namespace std::string_literals;
     const std::string head = "\x97\x01\x0b\x00\x69\xe9\xf7\x98\xfd"s;
     for (const std::string &bytes :
@@ -97,7 +96,7 @@
     }
   }
 
-  void comesOutAsItWentIn() {
+  void restoresAPush() {
     auto out = decodePush(encodePush(sample(100)));
     expectTrue(out.has_value(), "it can be read");
     expectEqual<uint32_t>(7, out->Sender.Value);
@@ -105,10 +104,10 @@
     expectTrue(out->Age == 12ms && out->Base == base, "age and base");
     expectTrue(out->Page.Items == sample(100).Page.Items, "the items");
     expectEqual<uint64_t>(0xfedcba9876543210, out->Digest);
-    expectTrue(out->Complete, "all of it");
+    expectTrue(out->Complete, "complete");
   }
 
-  void leavesOutWhatDoesNotFit() {
+  void omitsItemsThatDoNotFit() {
     std::string bytes = encodePush(sample(2000));
     expectTrue(bytes.size() <= MaxDatagramBytes, "one datagram");
     auto out = decodePush(bytes);
@@ -116,16 +115,16 @@
                "the receiver has to ask");
     expectTrue(out->Page.At ==
                    Position{.Generation = Generation{3}, .Revision = 42},
-               "where it leads");
+               "its position");
   }
 
-  void splitsWhatIsTooLargeForADatagram() {
+  void splitsLargePushIntoFragments() {
     UpdatePush push = sample(5000);
     auto datagrams = encodeDatagrams(push, 3, 1);
-    expectTrue(datagrams.size() > 1, "several");
+    expectTrue(datagrams.size() > 1, "several fragments");
     std::string whole;
     for (const std::string &it : datagrams) {
-      expectTrue(it.size() <= MaxDatagramBytes, "one datagram each");
+      expectTrue(it.size() <= MaxDatagramBytes, "each is one datagram");
       auto message = decodeDatagram(it);
       expectTrue(message && std::holds_alternative<Fragment>(*message),
                  "a fragment");
@@ -134,7 +133,7 @@
     auto out = decodeFragments(whole);
     expectTrue(out && out->Complete && out->Page.Items == push.Page.Items,
                "the items");
-    section("a small push is one datagram, as it is", [] {
+    section("a small push is one unfragmented datagram", [] {
       auto one = encodeDatagrams(sample(10), 4, 1);
       expectEqual<size_t>(1, one.size());
       auto message = decodeDatagram(one[0]);
@@ -143,21 +142,20 @@
     });
   }
 
-  void carriesAPageOfEverything() {
+  void restoresAPage() {
     ItemPage page = sample(100'000).Page;
     std::string bytes = encodePage(page);
     auto out = decodePage(bytes);
     expectTrue(out && out->Items == page.Items && out->At == page.At,
-               "the items, and where they stand");
+               "its items and position");
     bytes.resize(bytes.size() / 2);
-    expectTrue(!decodePage(bytes), "half of it is refused");
+    expectTrue(!decodePage(bytes), "a truncated page is refused");
   }
 
-  // Pattern: 10,000 servers register, 320 of them a second, or twice as many,
-  // and instances pass that on. Guards against pushes that leave their items
-  // out, since each receiver then reads them from its sender, or from the
-  // registry.
-  void pushesWhatAFleetRegistersInAPace() {
+  // 10,000 servers register at a rate of 320 a second, or of twice as many, and
+  // instances forward that. Guards against pushes without their items, since
+  // each receiver then reads them from its sender or from the registry.
+  void pushesTheRegistrationsOfAPollInterval() {
     for (size_t servers : {320U, 640U}) {
       auto datagrams = encodeDatagrams(registrations(servers), 1, 4);
       expectTrue(datagrams.size() > 1, "the items are in it");
@@ -166,9 +164,10 @@
     }
   }
 
-  // Guards against pushes whose last pieces are lost for all receivers: whoever
-  // has asked the registry tells the heads of five zones and its children.
-  void sendsNoMoreAtOnceThanALinkTakes() {
+  // Guards against pushes whose last fragments are lost for all receivers: an
+  // instance that has asked the registry pushes the answer to the heads of five
+  // zones and to its children.
+  void limitsBurstsToWhatALinkCarries() {
     for (size_t servers : {10U, 320U, 640U, 1280U})
       for (size_t receivers : {1U, 8U, 33U}) {
         auto datagrams = encodeDatagrams(registrations(servers), 1, receivers);
@@ -179,12 +178,12 @@
       }
     auto few = encodeDatagrams(registrations(320), 1, 33);
     auto push = decodePush(few[0]);
-    expectTrue(push && !push->Complete, "they hear of it, and ask");
+    expectTrue(push && !push->Complete, "the receivers have to ask");
   }
 
-  // Guards against pages that eight receivers can't read from one sender. Its
-  // link of 20 Mbit/s carries 2.5 MB a second.
-  void servesLargePagesOverSmallLinks() {
+  // Guards against pages that are too large for eight receivers to read from
+  // one sender, whose link of 20 Mbit/s carries 2.5 MB a second.
+  void keepsPagesSmallEnoughForALink() {
     constexpr size_t Receivers = 8;
     constexpr size_t LinkBytesPerSecond = 2'500'000;
     size_t one = encodePage(registrations(1000).Page).size();
@@ -194,7 +193,7 @@
                std::to_string(two) + " bytes for 2,000 servers");
   }
 
-  void leavesOutWhatNeedsTooManyDatagrams() {
+  void omitsItemsThatNeedTooManyFragments() {
     auto datagrams =
         encodeDatagrams(sample(FragmentBytes * MaxFragments), 3, 1);
     expectEqual<size_t>(1, datagrams.size());
@@ -203,7 +202,7 @@
   }
 
   void refusesDamagedFragments() {
-    property("any change is read or refused", [] {
+    property("a changed message is decoded or refused", [] {
       std::string bytes = encodeDatagrams(sample(3000), 3, 1)[0];
       auto at = *rc::gen::inRange<size_t>(0, bytes.size());
       bytes[at] = *rc::gen::arbitrary<char>();
@@ -214,25 +213,25 @@
     });
   }
 
-  void carriesADoubt() {
+  void restoresAnUnreachableReport() {
     std::string bytes = encodeUnreachableReport(
         {.Sender = InstanceId{7}, .Backend = token::BackendId{0xfffffffff1}});
     auto message = decodeDatagram(bytes);
     expectTrue(message && std::holds_alternative<UnreachableReport>(*message),
-               "a doubt");
+               "a report");
     expectEqual<uint64_t>(0xfffffffff1,
                           std::get<UnreachableReport>(*message).Backend.Value);
     bytes.pop_back();
-    expectTrue(!decodeDatagram(bytes), "a cut one is refused");
+    expectTrue(!decodeDatagram(bytes), "a truncated report is refused");
   }
 
   void refusesDamagedBytes() {
-    property("cut bytes are refused", [] {
+    property("truncated bytes are refused", [] {
       std::string bytes = encodePush(sample(50));
       bytes.resize(*rc::gen::inRange<size_t>(0, bytes.size()));
       RC_ASSERT(!decodePush(bytes));
     });
-    property("any change is read or refused", [] {
+    property("a changed message is decoded or refused", [] {
       std::string bytes = encodePush(sample(50));
       auto at = *rc::gen::inRange<size_t>(0, bytes.size());
       bytes[at] = *rc::gen::arbitrary<char>();
--- a/tests/PropagationTreeTest.cpp
+++ b/tests/PropagationTreeTest.cpp
@@ -1,4 +1,4 @@
-// News reaches everybody, and few ask the registry.
+// Tests that updates reach all instances, and that few ask the registry.
 
 #include "chicorybank/edge/PropagationTree.h"
 
@@ -29,206 +29,209 @@
   return out;
 }
 
-PropagationTree spreadOf(const PeerRecord &self, const Fleet &all) {
+PropagationTree treeOf(const PeerRecord &self, const Fleet &all) {
   PropagationTree out({.Self = self.Id, .Zone = self.Zone});
   out.learn(all);
   return out;
 }
 
-/// Who is reached when `from` has asked the registry, leaving out the dead,
-/// and in how many steps.
-std::pair<std::set<uint32_t>, int> reach(InstanceId from, const Fleet &all,
-                                         const std::set<uint32_t> &dead = {}) {
+/// Returns the instances that an update reaches from `from`, which has asked
+/// the registry, and in how many steps. Failed instances forward nothing.
+std::pair<std::set<uint32_t>, int>
+propagate(InstanceId from, const Fleet &all,
+          const std::set<uint32_t> &failed = {}) {
   std::set<uint32_t> reached{from.Value};
   std::vector<uint32_t> wave{from.Value};
   int steps = 0;
-  bool asked = true;
+  bool fromRegistry = true;
   while (!wave.empty()) {
     std::vector<uint32_t> next;
     for (uint32_t it : wave)
-      for (Address to : spreadOf(all.at(InstanceId{it}), all).targets(asked))
-        if (!dead.contains(to.Ip) && reached.insert(to.Ip).second)
+      for (Address to :
+           treeOf(all.at(InstanceId{it}), all).targets(fromRegistry))
+        if (!failed.contains(to.Ip) && reached.insert(to.Ip).second)
           next.push_back(to.Ip);
-    asked = false;
+    fromRegistry = false;
     wave = next;
     ++steps;
   }
   return {reached, steps - 1};
 }
 
-/// How many ask the registry before somebody's answer reaches them, from the
-/// moment on at which the dead stop passing news on. All that live had the
-/// same news then; a push takes a twentieth of a pace a step.
-size_t askersAfter(const Fleet &all, const std::set<uint32_t> &dead,
-                   InstanceId watcher) {
+/// Returns how many instances ask the registry before an answer reaches them,
+/// from the moment at which the failed ones stop forwarding. At that moment,
+/// all running instances have data of the same age; each step of a push takes a
+/// twentieth of a poll interval.
+size_t askersAfterFailure(const Fleet &all, const std::set<uint32_t> &failed,
+                          InstanceId watcher) {
   constexpr Duration Step = 25ms;
-  std::map<uint32_t, PropagationTree> spreads;
+  std::map<uint32_t, PropagationTree> trees;
   for (const auto &[id, it] : all)
-    if (!dead.contains(id.Value))
-      spreads.emplace(id.Value, spreadOf(it, all));
-  // Who acts when: asks, or has news to pass on.
-  struct Act {
+    if (!failed.contains(id.Value))
+      trees.emplace(id.Value, treeOf(it, all));
+  // An instance asks the registry or forwards an update at some time.
+  struct Action {
     Duration At;
-    uint32_t Who;
-    bool Asks;
-    bool operator>(const Act &other) const { return At > other.At; }
+    uint32_t Instance;
+    bool AsksRegistry;
+    bool operator>(const Action &other) const { return At > other.At; }
   };
-  std::priority_queue<Act, std::vector<Act>, std::greater<>> acts;
-  for (const auto &[id, it] : spreads)
-    acts.push({.At = id == watcher.Value ? 500ms : it.stalenessLimit(),
-               .Who = id,
-               .Asks = true});
+  std::priority_queue<Action, std::vector<Action>, std::greater<>> actions;
+  for (const auto &[id, it] : trees)
+    actions.push({.At = id == watcher.Value ? 500ms : it.stalenessLimit(),
+                  .Instance = id,
+                  .AsksRegistry = true});
   std::set<uint32_t> reached;
   size_t askers = 0;
-  while (!acts.empty()) {
-    Act it = acts.top();
-    acts.pop();
-    if (!reached.insert(it.Who).second)
+  while (!actions.empty()) {
+    Action it = actions.top();
+    actions.pop();
+    if (!reached.insert(it.Instance).second)
       continue;
-    askers += it.Asks ? 1 : 0;
-    for (Address to : spreads.at(it.Who).targets(it.Asks))
-      if (!dead.contains(to.Ip))
-        acts.push({.At = it.At + Step, .Who = to.Ip, .Asks = false});
+    askers += it.AsksRegistry ? 1 : 0;
+    for (Address to : trees.at(it.Instance).targets(it.AsksRegistry))
+      if (!failed.contains(to.Ip))
+        actions.push(
+            {.At = it.At + Step, .Instance = to.Ip, .AsksRegistry = false});
   }
   return askers;
 }
 
-/// The instances of a zone to whom a head of it passes news on.
+/// Returns the instances to which one forwards an update within its zone.
 std::vector<Address> childrenOf(const PeerRecord &it, const Fleet &all) {
-  return spreadOf(it, all).targets(false);
+  return treeOf(it, all).targets(false);
 }
 
 } // namespace
 
 class PropagationTreeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PropagationTreeTest);
-  CPPUNIT_TEST(reachesEverybodyInFewSteps);
-  CPPUNIT_TEST(reachesOtherZonesWithoutTheirFirst);
-  CPPUNIT_TEST(letsOneAskFirst);
-  CPPUNIT_TEST(isLastUntilItsRecordIsSeen);
-  CPPUNIT_TEST(keepsTheOrderWhileRecordsLapse);
-  CPPUNIT_TEST(asksInTimeWhateverTheFleet);
-  CPPUNIT_TEST(sendsNoMoreInALargerFleet);
-  CPPUNIT_TEST(asksOnceForAllBehindADeadInstance);
+  CPPUNIT_TEST(reachesAllInstancesInFewSteps);
+  CPPUNIT_TEST(reachesOtherZonesIfTheirFirstFailed);
+  CPPUNIT_TEST(onlyOneInstanceAsksFirst);
+  CPPUNIT_TEST(hasTheLastRankUntilItsRecordIsSeen);
+  CPPUNIT_TEST(keepsTheLastOrderWhileRecordsLapse);
+  CPPUNIT_TEST(asksInTimeAtAnyFleetSize);
+  CPPUNIT_TEST(sendsNoMorePushesInALargerFleet);
+  CPPUNIT_TEST(asksOnceForTheSubtreeOfAFailedInstance);
   CPPUNIT_TEST_SUITE_END();
 
-  void reachesEverybodyInFewSteps() {
+  void reachesAllInstancesInFewSteps() {
     Fleet all = fleet(4, 60);
     for (const auto &[id, it] : all) {
       if (id.Value % 37 != 0)
         continue;
-      auto [reached, steps] = reach(id, all);
+      auto [reached, steps] = propagate(id, all);
       expectEqual<size_t>(all.size(), reached.size());
       expectTrue(steps <= 4, "four steps: " + std::to_string(steps));
     }
   }
 
-  // Symptom: a zone that the registry turns away learns nothing.
-  // Sequence: the first of its order has died, its record is still there.
-  // Cause: one instance as the only way into a zone.
-  void reachesOtherZonesWithoutTheirFirst() {
+  // Guards against a zone that gets no updates while the registry refuses it:
+  // its first instance has failed, its record still exists, and no other
+  // instance of the zone gets pushes from outside.
+  void reachesOtherZonesIfTheirFirstFailed() {
     Fleet all = fleet(3, 5);
     InstanceId from = all.begin()->first;
-    Address first = spreadOf(all.begin()->second, all).targets(true).back();
-    auto [reached, steps] = reach(from, all, {first.Ip});
+    Address first = treeOf(all.begin()->second, all).targets(true).back();
+    auto [reached, steps] = propagate(from, all, {first.Ip});
     expectEqual<size_t>(all.size() - 1, reached.size());
   }
 
-  // Pattern: 295 instances start before any has a record. Grounds: each took
-  // itself for the first and watched at once, 295 calls for one.
-  void isLastUntilItsRecordIsSeen() {
+  // 295 instances start before any has a record. If each took itself for the
+  // first one and watched at once, they would make 295 calls instead of one.
+  void hasTheLastRankUntilItsRecordIsSeen() {
     Fleet all = fleet(1, 60);
     Duration last = Duration::zero();
     for (const auto &[id, it] : all)
-      last = std::max(last, spreadOf(it, all).stalenessLimit());
+      last = std::max(last, treeOf(it, all).stalenessLimit());
     PropagationTree fresh({.Self = InstanceId{9}, .Zone = "zone-0"});
-    expectTrue(fresh.stalenessLimit() >= 1500ms, "nobody is known");
+    expectTrue(fresh.stalenessLimit() >= 1500ms, "no instance is known");
     fresh.learn(all);
-    expectTrue(fresh.stalenessLimit() >= 1500ms, "others are");
-    std::set<Duration> patiences;
+    expectTrue(fresh.stalenessLimit() >= 1500ms, "other instances are known");
+    std::set<Duration> limits;
     for (uint64_t seed = 1; seed <= 100; ++seed)
-      patiences.insert(
-          PropagationTree(
-              {.Self = InstanceId{9}, .Zone = "zone-0", .Seed = seed})
-              .stalenessLimit());
-    expectTrue(*patiences.rbegin() - *patiences.begin() > 700ms,
-               "those without a place don't ask at once");
+      limits.insert(PropagationTree(
+                        {.Self = InstanceId{9}, .Zone = "zone-0", .Seed = seed})
+                        .stalenessLimit());
+    expectTrue(*limits.rbegin() - *limits.begin() > 700ms,
+               "instances without a rank don't ask all at once");
     all[InstanceId{9}] = {.Id = InstanceId{9}, .Zone = "zone-0"};
     fresh.learn(all);
-    expectTrue(fresh.stalenessLimit() <= last, "it has a place");
+    expectTrue(fresh.stalenessLimit() <= last, "it has a rank");
   }
 
-  // Symptom: when the registry is back from an outage all instances ask it
-  // twice a second, or the news of all is stale for seconds.
-  // Sequence: all records lapse with their leases; each instance knows nobody.
-  // Cause: records that are missing taken for instances that are gone.
-  void keepsTheOrderWhileRecordsLapse() {
+  // Guards against a deployment that comes out of an outage of the registry
+  // with every instance asking it twice a second, or with stale data everywhere
+  // for seconds. All records lapse with their leases; if a missing record meant
+  // that the instance is gone, no instance would know another.
+  void keepsTheLastOrderWhileRecordsLapse() {
     Fleet all = fleet(2, 5);
     const PeerRecord &self = all.begin()->second;
-    PropagationTree spread = spreadOf(self, all);
-    Duration stalenessLimit = spread.stalenessLimit();
-    auto targets = spread.targets(true);
-    spread.learn({});
-    expectTrue(spread.stalenessLimit() == stalenessLimit, "its place");
-    expectTrue(spread.targets(true) == targets, "and whom it tells");
+    PropagationTree tree = treeOf(self, all);
+    Duration limit = tree.stalenessLimit();
+    auto targets = tree.targets(true);
+    tree.learn({});
+    expectTrue(tree.stalenessLimit() == limit, "its limit is unchanged");
+    expectTrue(tree.targets(true) == targets, "its receivers are unchanged");
     section("until its own record is back", [&] {
-      spread.learn({{self.Id, self}});
-      expectTrue(spread.targets(true).empty(), "the only one");
+      tree.learn({{self.Id, self}});
+      expectTrue(tree.targets(true).empty(), "it is the only instance");
     });
   }
 
-  void letsOneAskFirst() {
+  void onlyOneInstanceAsksFirst() {
     Fleet all = fleet(3, 8);
-    std::multiset<Duration> stalenessLimit;
+    std::multiset<Duration> limits;
     for (const auto &[id, it] : all)
-      stalenessLimit.insert(spreadOf(it, all).stalenessLimit());
-    expectEqual<size_t>(1, stalenessLimit.count(500ms));
-    expectTrue(*std::next(stalenessLimit.begin()) >= 700ms,
-               "the next one leaves time for a call and a push");
+      limits.insert(treeOf(it, all).stalenessLimit());
+    expectEqual<size_t>(1, limits.count(500ms));
+    expectTrue(*std::next(limits.begin()) >= 700ms,
+               "the second instance leaves time for a call and a push");
   }
 
-  void asksInTimeWhateverTheFleet() {
-    property("three quarters of the time to apply at most", [] {
+  void asksInTimeAtAnyFleetSize() {
+    property("at most three quarters of the time to apply", [] {
       Fleet all = fleet(*rc::gen::inRange<uint32_t>(1, 20),
                         *rc::gen::inRange<uint32_t>(1, 12));
       for (const auto &[id, it] : all)
-        RC_ASSERT(spreadOf(it, all).stalenessLimit() <= 2250ms);
+        RC_ASSERT(treeOf(it, all).stalenessLimit() <= 2250ms);
     });
   }
 
-  // Pattern: instances inside the tree die, and their records stand until their
-  // leases end. Guards against a call by each of all those behind them, twice
-  // as many in a fleet of twice the size.
-  void asksOnceForAllBehindADeadInstance() {
+  // Instances inside the tree fail, and their records exist until their leases
+  // end. Guards against a call by each instance of their subtrees, twice as
+  // many in a fleet of twice the size.
+  void asksOnceForTheSubtreeOfAFailedInstance() {
     for (uint32_t each : {200U, 400U, 800U}) {
       Fleet all = fleet(2, each);
       const PeerRecord *watcher = &all.begin()->second;
       for (const auto &[id, it] : all)
-        if (spreadOf(it, all).stalenessLimit() == 500ms)
+        if (treeOf(it, all).stalenessLimit() == 500ms)
           watcher = &it;
-      expectEqual<size_t>(1, askersAfter(all, {}, watcher->Id));
+      expectEqual<size_t>(1, askersAfterFailure(all, {}, watcher->Id));
       auto heads = childrenOf(*watcher, all);
       size_t few = 3;
-      section("one of the first step", [&] {
-        size_t n = askersAfter(all, {heads[5].Ip}, watcher->Id);
+      section("an instance at depth one", [&] {
+        size_t n = askersAfterFailure(all, {heads[5].Ip}, watcher->Id);
         expectTrue(n <= 1 + few, std::to_string(n) + " of " +
                                      std::to_string(2 * each) + " ask");
       });
-      section("one of the second", [&] {
+      section("an instance at depth two", [&] {
         auto second = childrenOf(all.at(InstanceId{heads[5].Ip}), all);
-        size_t n = askersAfter(all, {second[2].Ip}, watcher->Id);
+        size_t n = askersAfterFailure(all, {second[2].Ip}, watcher->Id);
         expectTrue(n <= 1 + few, std::to_string(n) + " of " +
                                      std::to_string(2 * each) + " ask");
       });
     }
   }
 
-  void sendsNoMoreInALargerFleet() {
+  void sendsNoMorePushesInALargerFleet() {
     for (uint32_t each : {10U, 100U, 400U}) {
       Fleet all = fleet(3, each);
       size_t most = 0;
       for (uint32_t n = 0; n < each; n += 9)
-        most = std::max(most, spreadOf(all.at(InstanceId{0x0a000000 + n}), all)
+        most = std::max(most, treeOf(all.at(InstanceId{0x0a000000 + n}), all)
                                   .targets(false)
                                   .size());
       expectTrue(most <= PropagationTree::FanOut,
--- a/tests/RouteHistoryTest.cpp
+++ b/tests/RouteHistoryTest.cpp
@@ -35,7 +35,7 @@
   return out;
 }
 
-/// Writes records as the registry would.
+/// Stores records as the registry does.
 void store(const std::vector<RouteHistoryPart> &records,
            RouteHistoryParts &stored) {
   for (RouteHistoryPart it : records) {
@@ -48,21 +48,21 @@
 
 class RouteHistoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RouteHistoryTest);
-  CPPUNIT_TEST(recordsWhatRoutesLeadTo);
-  CPPUNIT_TEST(knowsAfterARestartWhatAVersionBeforeItLedTo);
-  CPPUNIT_TEST(writesNothingForWhatIsStale);
-  CPPUNIT_TEST(forgetsWithTheLongestLifeOfAFlow);
-  CPPUNIT_TEST(boundsWhatOneAddressHasLost);
+  CPPUNIT_TEST(recordsCurrentRoutes);
+  CPPUNIT_TEST(learnsEarlierRoutesFromTheRecord);
+  CPPUNIT_TEST(writesNothingForSurplusPairs);
+  CPPUNIT_TEST(dropsRemovedPairsAfterTheMaximumFlowAge);
+  CPPUNIT_TEST(limitsFormerServicesOfAnAddress);
   CPPUNIT_TEST(ignoresOlderVersions);
-  CPPUNIT_TEST(writesAgainWhatWasTakenAway);
-  CPPUNIT_TEST(dividesALargeRecord);
+  CPPUNIT_TEST(rewritesRemovedPairs);
+  CPPUNIT_TEST(splitsALargeRecord);
   CPPUNIT_TEST_SUITE_END();
 
-  // Symptom: after a growth of the configuration, pairs are in no part.
-  // Sequence: the record has one part; addresses are added, so that there are
-  // two; the first is rewritten without those that are the second's now.
-  // Cause: a pair looked for in the whole record, not in the part that has it.
-  void dividesALargeRecord() {
+  // Guards against pairs that are in no part after the configuration has grown:
+  // the record has one part; with added addresses there are two, and the first
+  // is rewritten without the pairs that now belong to the second. So a pair has
+  // to be looked for in its own part, not in the whole record.
+  void splitsALargeRecord() {
     auto many = [](uint64_t version, uint32_t count) {
       token::RouteSet out{.Version = RuleVersion{version}};
       for (uint32_t n = 0; n < count; ++n)
@@ -75,48 +75,48 @@
     expectEqual<uint32_t>(MaxRouteHistoryParts, RouteHistory::partCount(5'700));
     expectEqual<uint32_t>(MaxRouteHistoryParts,
                           RouteHistory::partCount(34'000));
-    RouteHistory ledger;
+    RouteHistory history;
     RouteHistoryParts stored;
-    uint32_t most = 0;
+    uint32_t maxCount = 0;
     uint64_t version = 0;
     for (uint32_t count : {200U, 400U, 5'700U, 100U}) {
-      most = std::max(most, count);
-      ledger.learn(many(++version, count), Start);
-      store(ledger.incompleteParts(stored, FlowAge, Start), stored);
-      expectTrue(ledger.incompleteParts(stored, FlowAge, Start).empty(),
-                 "whole");
+      maxCount = std::max(maxCount, count);
+      history.learn(many(++version, count), Start);
+      store(history.incompleteParts(stored, FlowAge, Start), stored);
+      expectTrue(history.incompleteParts(stored, FlowAge, Start).empty(),
+                 "the record is complete");
       RouteHistory started;
       started.learn(stored, FlowAge, Start);
       expectEqual<size_t>(
-          most, servicesOf(started.incompleteParts({}, FlowAge, Start)).size());
+          maxCount,
+          servicesOf(started.incompleteParts({}, FlowAge, Start)).size());
     }
   }
 
-  void recordsWhatRoutesLeadTo() {
-    RouteHistory ledger;
-    ledger.learn(routes(1, {Records}), Start);
-    auto missing = ledger.incompleteParts({}, FlowAge, Start);
+  void recordsCurrentRoutes() {
+    RouteHistory history;
+    history.learn(routes(1, {Records}), Start);
+    auto missing = history.incompleteParts({}, FlowAge, Start);
     expectEqual<size_t>(1, missing.size());
     expectEqual(RouteHistory::partOf(Feed, 1), missing[0].Part);
     expectEqual<int64_t>(0, missing[0].At.Revision);
     RouteHistoryParts stored;
     store(missing, stored);
-    expectTrue(ledger.incompleteParts(stored, FlowAge, Start).empty(),
-               "it stands");
+    expectTrue(history.incompleteParts(stored, FlowAge, Start).empty(),
+               "the part is complete");
     section("a new service at the address rewrites its part", [&] {
-      ledger.learn(routes(2, {Records, Certificates}), Start);
-      auto more = ledger.incompleteParts(stored, FlowAge, Start);
+      history.learn(routes(2, {Records, Certificates}), Start);
+      auto more = history.incompleteParts(stored, FlowAge, Start);
       expectTrue(servicesOf(more) == std::vector{Records, Certificates},
-                 "both");
+                 "both services");
       expectEqual<int64_t>(1, more[0].At.Revision);
     });
   }
 
-  // Symptom: feeds die after a route has moved and instances have restarted.
-  // Sequence: the route leads to one service, which is recorded; it moves; all
-  // processes end with the change, so that none saw both versions.
-  // Cause: what the route led to was known to processes alone.
-  void knowsAfterARestartWhatAVersionBeforeItLedTo() {
+  // Guards against flows that break after a route has moved and instances have
+  // restarted: the route leads to one service, which is recorded; it moves; all
+  // processes end at that change, so that none has seen both versions.
+  void learnsEarlierRoutesFromTheRecord() {
     RouteHistoryParts stored;
     RouteHistory before;
     before.learn(routes(1, {Records}), Start);
@@ -126,43 +126,44 @@
     after.learn(stored, FlowAge, Start + 1s);
     auto missing = after.incompleteParts(stored, FlowAge, Start + 1s);
     expectTrue(servicesOf(missing) == std::vector{Certificates, Records},
-               "the old one stays beside the new");
+               "the old service stays beside the new one");
   }
 
-  void writesNothingForWhatIsStale() {
+  void writesNothingForSurplusPairs() {
     RouteHistoryParts stored;
-    RouteHistory ledger;
-    ledger.learn(routes(1, {Records}), Start);
-    store(ledger.incompleteParts(stored, FlowAge, Start), stored);
-    ledger.learn(routes(2, {}), Start);
-    expectTrue(ledger.incompleteParts(stored, FlowAge, Start + 1h).empty(),
-               "a pair too many costs nothing");
+    RouteHistory history;
+    history.learn(routes(1, {Records}), Start);
+    store(history.incompleteParts(stored, FlowAge, Start), stored);
+    history.learn(routes(2, {}), Start);
+    expectTrue(history.incompleteParts(stored, FlowAge, Start + 1h).empty(),
+               "a surplus pair causes no write");
   }
 
-  void forgetsWithTheLongestLifeOfAFlow() {
+  void dropsRemovedPairsAfterTheMaximumFlowAge() {
     RouteHistoryParts stored;
-    RouteHistory ledger;
-    ledger.learn(routes(1, {Records}), Start);
-    store(ledger.incompleteParts(stored, FlowAge, Start), stored);
-    ledger.learn(routes(2, {Certificates}), Start);
-    section("the next write leaves out what no flow can need", [&] {
-      auto missing = ledger.incompleteParts(stored, FlowAge, Start + 61s);
-      expectTrue(servicesOf(missing) == std::vector{Certificates}, "alone");
-      section("and reading the old record does not bring it back", [&] {
-        ledger.learn(stored, FlowAge, Start + 61s);
+    RouteHistory history;
+    history.learn(routes(1, {Records}), Start);
+    store(history.incompleteParts(stored, FlowAge, Start), stored);
+    history.learn(routes(2, {Certificates}), Start);
+    section("the next write omits what no flow can need", [&] {
+      auto missing = history.incompleteParts(stored, FlowAge, Start + 61s);
+      expectTrue(servicesOf(missing) == std::vector{Certificates},
+                 "the new service alone");
+      section("and reading the old record does not restore it", [&] {
+        history.learn(stored, FlowAge, Start + 61s);
         expectTrue(
-            servicesOf(ledger.incompleteParts(stored, FlowAge, Start + 61s)) ==
+            servicesOf(history.incompleteParts(stored, FlowAge, Start + 61s)) ==
                 std::vector{Certificates},
-            "still alone");
+            "still the new service alone");
       });
     });
   }
 
-  void boundsWhatOneAddressHasLost() {
-    RouteHistory ledger;
+  void limitsFormerServicesOfAnAddress() {
+    RouteHistory history;
     for (uint32_t n = 1; n <= 100; ++n)
-      ledger.learn(routes(n, {ServiceId{n}}), Start + n * 1s);
-    auto missing = ledger.incompleteParts({}, 1h, Start + 100s);
+      history.learn(routes(n, {ServiceId{n}}), Start + n * 1s);
+    auto missing = history.incompleteParts({}, 1h, Start + 100s);
     auto services = servicesOf(missing);
     expectEqual<size_t>(RouteHistory::MaxFormerServices + 1, services.size());
     expectEqual<uint32_t>(100 - RouteHistory::MaxFormerServices,
@@ -170,24 +171,24 @@
   }
 
   void ignoresOlderVersions() {
-    RouteHistory ledger;
-    ledger.learn(routes(7, {Records}), Start);
-    ledger.learn(routes(5, {Certificates}), Start);
-    expectTrue(servicesOf(ledger.incompleteParts({}, FlowAge, Start)) ==
+    RouteHistory history;
+    history.learn(routes(7, {Records}), Start);
+    history.learn(routes(5, {Certificates}), Start);
+    expectTrue(servicesOf(history.incompleteParts({}, FlowAge, Start)) ==
                    std::vector{Records},
                "the newest decides");
   }
 
-  void writesAgainWhatWasTakenAway() {
-    RouteHistory ledger;
+  void rewritesRemovedPairs() {
+    RouteHistory history;
     RouteHistoryParts stored;
-    ledger.learn(routes(1, {Records}), Start);
-    store(ledger.incompleteParts(stored, FlowAge, Start), stored);
-    ledger.learn(stored, FlowAge, Start);
+    history.learn(routes(1, {Records}), Start);
+    store(history.incompleteParts(stored, FlowAge, Start), stored);
+    history.learn(stored, FlowAge, Start);
     stored[RouteHistory::partOf(Feed, 1)] = {.Part =
                                                  RouteHistory::partOf(Feed, 1)};
-    ledger.learn(stored, FlowAge, Start);
-    auto missing = ledger.incompleteParts(stored, FlowAge, Start);
+    history.learn(stored, FlowAge, Start);
+    auto missing = history.incompleteParts(stored, FlowAge, Start);
     expectEqual<size_t>(1, missing.size());
     expectEqual<int64_t>(0, missing[0].At.Revision);
   }
--- a/tests/RouteHistoryWriterTest.cpp
+++ b/tests/RouteHistoryWriterTest.cpp
@@ -13,14 +13,14 @@
 
 const platform::StoreDialect Dialect;
 constexpr Duration FlowAge = 60s;
-constexpr Duration FirstInLine = 500ms;
-constexpr Duration FurtherBack = 1500ms;
+constexpr Duration FirstLimit = 500ms;
+constexpr Duration LaterLimit = 1500ms;
 constexpr uint32_t Addresses = 3;
 constexpr uint32_t Services = 4;
 
 Address addressOf(uint32_t n) { return {.Ip = 0xc6120000 + n, .Port = 443}; }
 
-/// Routes that lead from each address to the service of its place.
+/// Returns routes that lead from each address to the service at its index.
 token::RouteSet routes(uint64_t version, const std::vector<uint32_t> &to) {
   token::RouteSet out{.Version = RuleVersion{version}};
   for (uint32_t n = 0; n < to.size(); ++n)
@@ -36,7 +36,7 @@
   return it->value;
 }
 
-/// The store's part: the routes, and the record behind its conditions.
+/// The store: the routes, and the record with conditional writes.
 class Deployment {
 public:
   token::RouteSet Routes = routes(1, std::vector<uint32_t>(Addresses, 0));
@@ -46,7 +46,7 @@
     To[address] = service;
     Routes = routes(Routes.Version.Value + 1, To);
   }
-  /// Executes a call as the store does. Returns its status.
+  /// Executes a call as the store does, and returns the status.
   int execute(const RegistryCall &call) {
     rapidjson::Document json;
     json.Parse(call.Body.c_str());
@@ -68,15 +68,15 @@
     return static_cast<uint32_t>(std::stoul(key.substr(key.rfind('/') + 1)));
   }
   void put(const std::string &key, const std::string &value) {
-    // The store returns values as they were written, so a page of its own is
-    // the way back from the call's text.
+    // The store returns values as they were written, so the value is decoded as
+    // a page of the store.
     auto page = Dialect.readPage(R"({"items":[{"key":")" + key +
                                  R"(","revision":)" + std::to_string(Revision) +
                                  R"(,"value":")" + value + "\"}]}");
     Findings findings;
-    News news = Dialect.translate(page->Items.at(0), findings);
-    expectTrue(findings.empty(), "what is written can be read");
-    auto record = std::get<RouteHistoryPart>(news);
+    News content = Dialect.translate(page->Items.at(0), findings);
+    expectTrue(findings.empty(), "the written value is readable");
+    auto record = std::get<RouteHistoryPart>(content);
     Records[record.Part] = record;
   }
 
@@ -84,18 +84,18 @@
   int64_t Revision = 0;
 };
 
-/// One instance: what it may forward, and what it records.
+/// One instance: its route table, and its writer of the record.
 struct Instance {
-  RouteHistoryWriter Recorder{Dialect};
+  RouteHistoryWriter Writer{Dialect};
   token::RouteTable Table{FlowAge};
 
-  /// Reads the store's content, the record first, as a list has it.
+  /// Reads the content of the store, the record first, in the order of a list.
   void read(const Deployment &store, Time now) {
     for (const auto &[part, record] : store.Records)
       Table.learnPast(record.Pairs, now);
     Table.learn(store.Routes, now);
-    Recorder.learn(store.Routes, now);
-    Recorder.learn(store.Records, FlowAge, now);
+    Writer.learn(store.Routes, now);
+    Writer.learn(store.Records, FlowAge, now);
   }
   bool reaches(const token::RoutePair &pair, Time now) const {
     return Table.mayReach(pair.Where, pair.Service, now);
@@ -106,46 +106,47 @@
 
 class RouteHistoryWriterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RouteHistoryWriterTest);
-  CPPUNIT_TEST(writesWhatHasSettled);
-  CPPUNIT_TEST(leavesItToWhoeverStandsBefore);
-  CPPUNIT_TEST(writesAloneWhileRoutesGoOnChanging);
-  CPPUNIT_TEST(triesAgainAfterAFailure);
-  CPPUNIT_TEST(yieldsToAnotherWriter);
-  CPPUNIT_TEST(letsStartedInstancesCarryOldFlows);
-  CPPUNIT_TEST(neverReachesAServiceThatNoVersionNamed);
+  CPPUNIT_TEST(writesAfterTheSettleTime);
+  CPPUNIT_TEST(leavesTheWriteToAnEarlierInstance);
+  CPPUNIT_TEST(onlyOneInstanceWritesWhileRoutesKeepChanging);
+  CPPUNIT_TEST(retriesAfterAFailure);
+  CPPUNIT_TEST(doesNotOverwriteAnotherWriter);
+  CPPUNIT_TEST(startedInstancesForwardOldFlows);
+  CPPUNIT_TEST(neverForwardsToAServiceThatNoVersionNamed);
   CPPUNIT_TEST_SUITE_END();
 
-  void writesWhatHasSettled() {
+  void writesAfterTheSettleTime() {
     Deployment store;
     Instance one;
     one.read(store, Start);
-    expectTrue(!one.Recorder.next(FirstInLine, Start + 1900ms),
+    expectTrue(!one.Writer.next(FirstLimit, Start + 1900ms),
                "changes come in bursts");
-    auto call = one.Recorder.next(FirstInLine, Start + 2s);
+    auto call = one.Writer.next(FirstLimit, Start + 2s);
     expectEqual(Ok, store.execute(*call));
-    one.Recorder.answered({.Status = Ok}, Start + 2s);
+    one.Writer.answered({.Status = Ok}, Start + 2s);
     one.read(store, Start + 2s);
-    expectTrue(one.Recorder.nextAt(FirstInLine) == Time::max(),
+    expectTrue(one.Writer.nextAt(FirstLimit) == Time::max(),
                "nothing is missing");
   }
 
-  void leavesItToWhoeverStandsBefore() {
+  void leavesTheWriteToAnEarlierInstance() {
     Deployment store;
     Instance first;
     Instance other;
     first.read(store, Start);
     other.read(store, Start);
-    expectTrue(!other.Recorder.next(FurtherBack, Start + 2s), "not yet");
-    store.execute(*first.Recorder.next(FirstInLine, Start + 2s));
+    expectTrue(!other.Writer.next(LaterLimit, Start + 2s), "not yet");
+    store.execute(*first.Writer.next(FirstLimit, Start + 2s));
     other.read(store, Start + 2100ms);
-    expectTrue(!other.Recorder.next(FurtherBack, Start + 1h), "it is done");
+    expectTrue(!other.Writer.next(LaterLimit, Start + 1h),
+               "the other has written");
   }
 
-  // Symptom: all instances write at once, and all but one are refused.
-  // Sequence: routes change several times a second for several seconds; the
-  // first in line writes; something is missing again when its write is read.
-  // Cause: those behind wait from when anything was first missing.
-  void writesAloneWhileRoutesGoOnChanging() {
+  // Guards against instances that all write at once, so that all but one are
+  // refused: routes change several times a second for several seconds; the
+  // first instance writes, and data is missing again when its write is read.
+  // The delay of the others has to start anew then.
+  void onlyOneInstanceWritesWhileRoutesKeepChanging() {
     Deployment store;
     Instance first;
     Instance other;
@@ -154,32 +155,32 @@
       store.move(0, static_cast<uint32_t>((now - Start) / 300ms));
       first.read(store, now);
       other.read(store, now);
-      if (auto call = first.Recorder.next(FirstInLine, now)) {
+      if (auto call = first.Writer.next(FirstLimit, now)) {
         store.execute(*call);
-        first.Recorder.answered({.Status = Ok}, now);
+        first.Writer.answered({.Status = Ok}, now);
         ++calls;
       }
-      expectTrue(!other.Recorder.next(FurtherBack, now), "it is done");
+      expectTrue(!other.Writer.next(LaterLimit, now), "the other has written");
     }
-    expectTrue(calls >= 8 && calls <= 10, "not for each change");
+    expectTrue(calls >= 8 && calls <= 10, "one write for several changes");
   }
 
-  void triesAgainAfterAFailure() {
+  void retriesAfterAFailure() {
     Deployment store;
     Instance one;
     one.read(store, Start);
-    expectTrue(one.Recorder.next(FirstInLine, Start + 2s).has_value(), "due");
-    one.Recorder.answered({.Status = 0}, Start + 3s);
-    expectTrue(!one.Recorder.next(FirstInLine, Start + 4s), "not at once");
-    expectTrue(one.Recorder.next(FirstInLine, Start + 5s).has_value(), "again");
-    expectEqual<uint64_t>(1, one.Recorder.stats().Failed);
+    expectTrue(one.Writer.next(FirstLimit, Start + 2s).has_value(), "due");
+    one.Writer.answered({.Status = 0}, Start + 3s);
+    expectTrue(!one.Writer.next(FirstLimit, Start + 4s), "not immediately");
+    expectTrue(one.Writer.next(FirstLimit, Start + 5s).has_value(),
+               "after the delay");
+    expectEqual<uint64_t>(1, one.Writer.stats().Failed);
   }
 
-  // Symptom: a pair that was recorded is lost again.
-  // Sequence: two instances that don't hear each other write from the same
-  // state, each with a pair of its own.
-  // Cause: the second would replace what the first has written.
-  void yieldsToAnotherWriter() {
+  // Guards against the loss of a recorded pair: two instances that get no
+  // updates from each other write from the same state, each with a pair of its
+  // own. The second write must not replace the first.
+  void doesNotOverwriteAnotherWriter() {
     Deployment store;
     Instance one;
     Instance two;
@@ -187,34 +188,33 @@
     two.read(store, Start);
     store.move(0, 1);
     two.read(store, Start);
-    auto late = one.Recorder.next(FirstInLine, Start + 2s);
-    expectEqual(Ok, store.execute(*two.Recorder.next(FirstInLine, Start + 2s)));
-    expectEqual(412, store.execute(*late));
-    one.Recorder.answered({.Status = 412}, Start + 2s);
-    expectEqual<uint64_t>(1, one.Recorder.stats().Refused);
+    auto delayed = one.Writer.next(FirstLimit, Start + 2s);
+    expectEqual(Ok, store.execute(*two.Writer.next(FirstLimit, Start + 2s)));
+    expectEqual(412, store.execute(*delayed));
+    one.Writer.answered({.Status = 412}, Start + 2s);
+    expectEqual<uint64_t>(1, one.Writer.stats().Refused);
     section("both of its services are recorded for the address", [&] {
       Instance started = startedNow(store, Start + 2s);
       expectTrue(started.reaches({addressOf(0), ServiceId{1}}, Start + 2s),
-                 "the one before");
+                 "the old service");
       expectTrue(started.reaches({addressOf(0), ServiceId{2}}, Start + 2s),
-                 "the new one");
+                 "the new service");
     });
   }
 
-  // Symptom: established flows die in silence after planned work: the routes
-  // change and instances restart; `foreign_token` in their logs.
-  // Sequence: any order of moves of routes, restarts of single instances and of
-  // all at once, writes of the record that hold, are lost, or are executed
-  // later.
-  // Cause: what a route had led to was known only to processes that had read
-  // the version themselves.
-  void letsStartedInstancesCarryOldFlows() {
+  // Guards against established flows that end silently after planned work, with
+  // `foreign_token` in the logs: routes change and instances restart. The test
+  // runs any order of route moves, restarts of single instances and of all at
+  // once, and writes of the record that succeed, are lost or are executed
+  // later. Each recorded pair in force has to be known to instances that start
+  // after.
+  void startedInstancesForwardOldFlows() {
     property("what was recorded is known after any restart", [] {
       Deployment store;
       std::array<std::optional<Instance>, 3> fleet;
-      std::vector<RegistryCall> late;
-      // Pairs that stood while a write was executed, and when they ended.
-      std::map<token::RoutePair, std::optional<Time>> owed;
+      std::vector<RegistryCall> delayed;
+      // Pairs in force while a write was executed, and when they ended.
+      std::map<token::RoutePair, std::optional<Time>> required;
       Time now = Start;
       for (auto &it : fleet)
         it.emplace().read(store, now);
@@ -225,8 +225,8 @@
         case 0:
           store.move(*rc::gen::inRange(0U, Addresses),
                      *rc::gen::inRange(0U, Services));
-          for (auto &[pair, endedAt] : owed)
-            if (!stands(store, pair) && !endedAt)
+          for (auto &[pair, endedAt] : required)
+            if (!isInForce(store, pair) && !endedAt)
               endedAt = now;
           break;
         case 1:
@@ -240,42 +240,41 @@
             it.emplace().read(store, now);
           break;
         case 4:
-          if (auto call = fleet[which]->Recorder.next(FirstInLine, now)) {
+          if (auto call = fleet[which]->Writer.next(FirstLimit, now)) {
             bool lost = *rc::gen::arbitrary<bool>();
             int status = lost ? 0 : store.execute(*call);
             if (lost)
-              late.push_back(*call);
-            fleet[which]->Recorder.answered({.Status = status}, now);
+              delayed.push_back(*call);
+            fleet[which]->Writer.answered({.Status = status}, now);
           }
           break;
         default:
-          if (!late.empty()) {
-            store.execute(late.back());
-            late.pop_back();
+          if (!delayed.empty()) {
+            store.execute(delayed.back());
+            delayed.pop_back();
           }
         }
-        owe(store, owed);
-        for (const auto &[pair, endedAt] : owed)
+        require(store, required);
+        for (const auto &[pair, endedAt] : required)
           if (!endedAt || now - *endedAt < FlowAge)
             RC_ASSERT(startedNow(store, now).reaches(pair, now));
       }
     });
   }
 
-  // Symptom: a packet for one service reaches another one.
-  // Sequence: a token of a service that no version ever gave to the address,
-  // at an instance with any record.
-  // Cause: a record that was believed for more than it says.
-  void neverReachesAServiceThatNoVersionNamed() {
+  // Guards against a packet for one service that reaches another one: an
+  // instance with any record must refuse a token of a service that no version
+  // ever gave to the address.
+  void neverForwardsToAServiceThatNoVersionNamed() {
     property("a forged token is refused after any moves and restarts", [] {
       Deployment store;
       Time now = Start;
       for (int n = *rc::gen::inRange(0, 10); n > 0; --n) {
         Instance one = startedNow(store, now);
         now += 5s;
-        if (auto call = one.Recorder.next(FirstInLine, now))
+        if (auto call = one.Writer.next(FirstLimit, now))
           store.execute(*call);
-        // Service 4 is never given to an address.
+        // No address ever gets service 4.
         store.move(*rc::gen::inRange(0U, Addresses),
                    *rc::gen::inRange(0U, Services - 1));
       }
@@ -285,19 +284,20 @@
     });
   }
 
-  static bool stands(const Deployment &store, const token::RoutePair &pair) {
+  static bool isInForce(const Deployment &store, const token::RoutePair &pair) {
     for (const token::Route &it : store.Routes.Routes)
       if (it.Where == pair.Where && it.Services[0].Service == pair.Service)
         return true;
     return false;
   }
-  /// What is recorded and in force has to be carried from now on.
-  static void owe(const Deployment &store,
-                  std::map<token::RoutePair, std::optional<Time>> &owed) {
+  /// Requires that recorded pairs in force are forwarded from now on.
+  static void
+  require(const Deployment &store,
+          std::map<token::RoutePair, std::optional<Time>> &required) {
     for (const auto &[part, record] : store.Records)
       for (const token::RoutePair &it : record.Pairs)
-        if (stands(store, it))
-          owed[it].reset();
+        if (isInForce(store, it))
+          required[it].reset();
   }
   static Instance startedNow(const Deployment &store, Time now) {
     Instance out;
--- a/tests/UnreachableReportFilterTest.cpp
+++ b/tests/UnreachableReportFilterTest.cpp
@@ -10,31 +10,33 @@
 
 class UnreachableReportFilterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UnreachableReportFilterTest);
-  CPPUNIT_TEST(passesEachDoubtOnOnce);
-  CPPUNIT_TEST(boundsAFlood);
+  CPPUNIT_TEST(forwardsEachReportOnce);
+  CPPUNIT_TEST(limitsForwardedReports);
   CPPUNIT_TEST_SUITE_END();
 
-  // Symptom: instances send each other the same doubt for ever.
-  // Sequence: a doubt comes back by another way.
-  // Cause: no memory of what was passed on.
-  void passesEachDoubtOnOnce() {
-    UnreachableReportFilter log;
+  // Guards against instances that send each other the same report forever when
+  // it comes back by another path.
+  void forwardsEachReportOnce() {
+    UnreachableReportFilter filter;
     Time now{100s};
-    expectTrue(log.shouldForward(BackendId{1}, now), "the first");
-    expectTrue(!log.shouldForward(BackendId{1}, now + 1s), "the same again");
-    expectTrue(log.shouldForward(BackendId{2}, now + 1s), "another server");
-    expectTrue(log.shouldForward(BackendId{1}, now + 2s), "after a while");
+    expectTrue(filter.shouldForward(BackendId{1}, now), "first report");
+    expectTrue(!filter.shouldForward(BackendId{1}, now + 1s),
+               "same server within the window");
+    expectTrue(filter.shouldForward(BackendId{2}, now + 1s), "another server");
+    expectTrue(filter.shouldForward(BackendId{1}, now + 2s),
+               "after the window");
   }
 
-  void boundsAFlood() {
-    UnreachableReportFilter log;
+  void limitsForwardedReports() {
+    UnreachableReportFilter filter;
     Time now{100s};
-    size_t passed = 0;
+    size_t forwarded = 0;
     for (uint64_t id = 1; id <= 10 * UnreachableReportFilter::MaxReports; ++id)
-      if (log.shouldForward(BackendId{id}, now))
-        ++passed;
-    expectEqual<size_t>(UnreachableReportFilter::MaxReports, passed);
-    expectTrue(log.shouldForward(BackendId{1}, now + 3s), "and goes on later");
+      if (filter.shouldForward(BackendId{id}, now))
+        ++forwarded;
+    expectEqual<size_t>(UnreachableReportFilter::MaxReports, forwarded);
+    expectTrue(filter.shouldForward(BackendId{1}, now + 3s),
+               "forwards again later");
   }
 };
 
