--- a/include/chicorybank/edge/DirectoryWriter.h
+++ b/include/chicorybank/edge/DirectoryWriter.h
@@ -30,13 +30,14 @@
   explicit DirectoryWriter(const RegistryDialect &dialect) : Dialect(dialect) {}
 
   /// Takes the local cache, and the note about the stored directory.
-  void learn(const Mirror &cache, const DirectoryNote &stored, Time now);
+  void learn(const RegistryCache &cache, const DirectorySummary &stored,
+             Time now);
 
   /// Returns the call that is due, if any. Call it only while the cache is
   /// current. `stalenessLimit`: that of this instance (`PropagationTree.h`).
-  std::optional<RegistryCall> next(const Mirror &cache, Duration stalenessLimit,
-                                   Time now);
-  void answered(const NewsAnswer &answer, Time now) {
+  std::optional<RegistryCall> next(const RegistryCache &cache,
+                                   Duration stalenessLimit, Time now);
+  void answered(const RegistryAnswer &answer, Time now) {
     Schedule.answered(answer, now);
   }
   /// Returns when `next` may return a call.
@@ -48,7 +49,7 @@
 
 private:
   const RegistryDialect &Dialect;
-  DirectoryNote Stored;
+  DirectorySummary Stored;
   /// The zones whose stored parts differ from the local cache.
   std::set<std::string> Changed;
   StaggeredWrite Schedule;
--- a/include/chicorybank/edge/InstanceRegistrar.h
+++ b/include/chicorybank/edge/InstanceRegistrar.h
@@ -13,7 +13,7 @@
 #ifndef CHICORYBANK_EDGE_INSTANCEREGISTRAR_H
 #define CHICORYBANK_EDGE_INSTANCEREGISTRAR_H
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 namespace chicory::edge {
 
@@ -42,7 +42,7 @@
   /// Returns the call that is due, if any.
   std::optional<RegistryCall> next(Time now);
   Time nextAt() const { return Waiting ? Time::max() : DueAt; }
-  void answered(const NewsAnswer &answer, Time now);
+  void answered(const RegistryAnswer &answer, Time now);
   /// Compares this instance's record in the local cache, or null if there is
   /// none, with what it should be. The cache holds everything up to `asOf`:
   /// while updates are late, a record that was written is not in it yet.
@@ -61,7 +61,7 @@
 private:
   enum class Phase : uint8_t { Reading, CreatingLease, Writing, Renewing };
 
-  void takeOver(const NewsAnswer &answer);
+  void takeOver(const RegistryAnswer &answer);
 
   const RegistryDialect &Dialect;
   PeerRecord Self;
@@ -70,7 +70,7 @@
   bool Waiting = false;
   bool MustReread = false;
   /// How current the read of the record has to be.
-  Freshness RecordFreshness = Freshness::MayBeOld;
+  Freshness RecordFreshness = Freshness::MayBeStale;
   int64_t Lease = 0;
   /// The registry generation in which the lease was created, if known.
   std::optional<Generation> LeaseGeneration;
--- a/include/chicorybank/edge/PropagationTree.h
+++ b/include/chicorybank/edge/PropagationTree.h
@@ -28,7 +28,7 @@
 #ifndef CHICORYBANK_EDGE_PROPAGATIONTREE_H
 #define CHICORYBANK_EDGE_PROPAGATIONTREE_H
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 #include <map>
 #include <vector>
@@ -39,7 +39,7 @@
 struct PropagationOptions {
   InstanceId Self;
   std::string Zone;
-  Duration Pace = std::chrono::milliseconds(500);
+  Duration PollInterval = std::chrono::milliseconds(500);
   /// An update has to be in force on all instances within this time.
   Duration ApplyWithin = std::chrono::seconds(3);
   Duration RetryMax = std::chrono::milliseconds(800);
--- a/include/chicorybank/edge/RouteHistoryWriter.h
+++ b/include/chicorybank/edge/RouteHistoryWriter.h
@@ -33,7 +33,7 @@
   /// been read and is current: a part that was not read yet must not count as
   /// missing. `stalenessLimit`: that of this instance (`PropagationTree.h`).
   std::optional<RegistryCall> next(Duration stalenessLimit, Time now);
-  void answered(const NewsAnswer &answer, Time now) {
+  void answered(const RegistryAnswer &answer, Time now) {
     Schedule.answered(answer, now);
   }
   /// Returns when `next` may return a call.
--- a/include/chicorybank/edge/StaggeredWrite.h
+++ b/include/chicorybank/edge/StaggeredWrite.h
@@ -13,7 +13,7 @@
 #ifndef CHICORYBANK_EDGE_STAGGEREDWRITE_H
 #define CHICORYBANK_EDGE_STAGGEREDWRITE_H
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 
 namespace chicory::edge {
 
@@ -52,7 +52,7 @@
     Waiting = true;
     StoredAtSend = StoredAt;
   }
-  void answered(const NewsAnswer &answer, Time now);
+  void answered(const RegistryAnswer &answer, Time now);
   /// Sets the part of the delay that all instances have in common.
   void setSettleTime(Duration time) { Times.SettleTime = time; }
 
--- a/lib/edge/DirectoryWriter.cpp
+++ b/lib/edge/DirectoryWriter.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-void DirectoryWriter::learn(const Mirror &cache, const DirectoryNote &stored,
-                            Time now) {
+void DirectoryWriter::learn(const RegistryCache &cache,
+                            const DirectorySummary &stored, Time now) {
   Stored = stored;
   Changed = differences(cache.registrationDigests(), stored.Digests);
   std::erase_if(Changed, [&](const std::string &zone) {
@@ -41,13 +41,14 @@
   Schedule.learn(!Changed.empty(), stored.At, now);
 }
 
-std::optional<RegistryCall>
-DirectoryWriter::next(const Mirror &cache, Duration stalenessLimit, Time now) {
+std::optional<RegistryCall> DirectoryWriter::next(const RegistryCache &cache,
+                                                  Duration stalenessLimit,
+                                                  Time now) {
   if (now < nextAt(stalenessLimit))
     return std::nullopt;
   Schedule.begin();
   ZoneDigests digests = cache.registrationDigests();
-  DirectoryNote note = Stored;
+  DirectorySummary note = Stored;
   std::map<std::string, std::string> parts;
   for (const std::string &zone : Changed) {
     if (parts.size() == MaxParts)
--- a/lib/edge/InstanceRegistrar.cpp
+++ b/lib/edge/InstanceRegistrar.cpp
@@ -19,18 +19,18 @@
   }
   switch (State) {
   case Phase::Reading:
-    return Dialect.readRecord(Self.Id, RecordFreshness);
+    return Dialect.readInstanceRecord(Self.Id, RecordFreshness);
   case Phase::CreatingLease:
     return Dialect.createLease(Times.LeaseDuration);
   case Phase::Writing:
-    return Dialect.announce(Self, Lease);
+    return Dialect.writeInstanceRecord(Self, Lease);
   case Phase::Renewing:
     break;
   }
   return Dialect.renewLease(Lease);
 }
 
-void InstanceRegistrar::answered(const NewsAnswer &answer, Time now) {
+void InstanceRegistrar::answered(const RegistryAnswer &answer, Time now) {
   Waiting = false;
   DueAt = now + Times.RetryAfter;
   bool known = answer.Status == HttpOk || answer.Status == HttpNotFound;
@@ -50,7 +50,7 @@
   case Phase::Reading:
     break;
   case Phase::CreatingLease: {
-    auto lease = Dialect.readLease(answer.Body);
+    auto lease = Dialect.parseLease(answer.Body);
     if (!lease)
       return;
     Lease = *lease;
@@ -77,15 +77,15 @@
   DueAt = now + Times.RenewInterval;
 }
 
-void InstanceRegistrar::takeOver(const NewsAnswer &answer) {
+void InstanceRegistrar::takeOver(const RegistryAnswer &answer) {
   State = Phase::CreatingLease;
   if (answer.Status != HttpOk)
     return;
-  auto item = Dialect.readItem(answer.Body);
+  auto item = Dialect.parseItem(answer.Body);
   if (!item || item->Lease == 0)
     return;
   Findings ignored;
-  News content = Dialect.translate(*item, ignored);
+  ItemContent content = Dialect.translate(*item, ignored);
   const auto *record = std::get_if<PeerRecord>(&content);
   Lease = item->Lease;
   LeaseGeneration = answer.Generation;
@@ -107,9 +107,9 @@
   if (State == Phase::CreatingLease || State == Phase::Reading || MustReread)
     return std::nullopt;
   if (State == Phase::Writing)
-    return Dialect.endLease(Lease);
+    return Dialect.revokeLease(Lease);
   Self.Leaving = true;
-  return Dialect.announce(Self, Lease);
+  return Dialect.writeInstanceRecord(Self, Lease);
 }
 
 } // namespace chicory::edge
--- a/lib/edge/OutageGossip.cpp
+++ b/lib/edge/OutageGossip.cpp
@@ -55,7 +55,7 @@
   ++Round;
   for (const auto &[id, peer] : Registered)
     if (id != Self && sendsTo(peer, Round))
-      out.push_back(peer.Peers);
+      out.push_back(peer.PeerAddress);
   return out;
 }
 
@@ -67,7 +67,7 @@
   ++Round;
   for (const auto &[id, former] : Former)
     if (now - former.LeftAt <= FormerRetention && sendsTo(former.Peer, Round))
-      out.push_back(former.Peer.Peers);
+      out.push_back(former.Peer.PeerAddress);
   return out;
 }
 
--- a/lib/edge/PropagationTree.cpp
+++ b/lib/edge/PropagationTree.cpp
@@ -82,7 +82,7 @@
     size_t heads = zone == own ? FanOut + 1 : HeadsPerOtherZone;
     for (size_t n = 0; n < std::min(heads, members.size()); ++n)
       if (members[n].Peer.Id != Options.Self)
-        Heads.push_back(members[n].Peer.Peers);
+        Heads.push_back(members[n].Peer.PeerAddress);
     if (zone == own) {
       auto self = std::find_if(members.begin(), members.end(), [&](auto &it) {
         return it.Peer.Id == Options.Self;
@@ -104,7 +104,7 @@
                                   std::vector<Address> &out) const {
   for (size_t n = first; n < std::min(first + FanOut, members.size()); ++n)
     if (members[n].Peer.Id != Options.Self)
-      out.push_back(members[n].Peer.Peers);
+      out.push_back(members[n].Peer.PeerAddress);
 }
 
 /// Returns a fraction from 0 to 1 that differs between instances.
@@ -126,10 +126,10 @@
       intervals +=
           DepthStep * (static_cast<double>(depthOf(rank) - 1) + jitter());
   }
-  StalenessLimit =
-      std::min(std::chrono::duration_cast<Duration>(Options.Pace * intervals),
-               std::chrono::duration_cast<Duration>(Options.ApplyWithin *
-                                                    MaxShareOfApplyTime));
+  StalenessLimit = std::min(
+      std::chrono::duration_cast<Duration>(Options.PollInterval * intervals),
+      std::chrono::duration_cast<Duration>(Options.ApplyWithin *
+                                           MaxShareOfApplyTime));
   RetryMax = rank == 0 ? Options.RetryMax
                        : std::chrono::duration_cast<Duration>(
                              Options.RetryMax * FollowerRetryFactor);
--- a/tests/DirectoryWriterTest.cpp
+++ b/tests/DirectoryWriterTest.cpp
@@ -15,9 +15,9 @@
 /// The local cache of an instance, and its writer.
 struct Fixture {
   platform::StoreDialect Dialect;
-  Mirror Cache{Dialect};
+  RegistryCache Cache{Dialect};
   DirectoryWriter Writer{Dialect};
-  DirectoryNote Stored;
+  DirectorySummary Stored;
   Findings Faults;
   /// Bytes of all write calls.
   size_t Written = 0;
@@ -25,8 +25,8 @@
   void read(const Store &store, Time now) {
     Cache.replaceAll(store.list(), Faults);
     if (const Item *note = store.item("chicorybank/start/digests")) {
-      News content = Dialect.translate(*note, Faults);
-      Stored = std::get<DirectoryNote>(content);
+      ItemContent content = Dialect.translate(*note, Faults);
+      Stored = std::get<DirectorySummary>(content);
     }
     Writer.learn(Cache, Stored, now);
   }
--- a/tests/InstanceRegistrarTest.cpp
+++ b/tests/InstanceRegistrarTest.cpp
@@ -22,7 +22,7 @@
 
 struct Fixture {
   InstanceRegistrar Record{
-      Dialect, {.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}}, {}};
+      Dialect, {.Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}}, {}};
   Time Now = Start;
 
   /// Answers the call that is due, and returns its target.
@@ -172,11 +172,11 @@
     auto last = other.Record.leave();
     expectEqual<std::string>("/-/kv-txn", last->Target);
     section("its record says that it leaves, and ends with its lease", [&] {
-      PeerRecord self{.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}};
+      PeerRecord self{.Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}};
       self.Leaving = true;
-      expectEqual(Dialect.announce(self, 5).Body, last->Body);
+      expectEqual(Dialect.writeInstanceRecord(self, 5).Body, last->Body);
       self.Leaving = false;
-      expectTrue(Dialect.announce(self, 5).Body != last->Body,
+      expectTrue(Dialect.writeInstanceRecord(self, 5).Body != last->Body,
                  "the record differs");
     });
     other.Now += 10s;
@@ -212,7 +212,8 @@
       Fixture late;
       late.step(Ok, record(false));
       expectEqual<std::string>("/-/kv-keep/9", late.step(Ok));
-      PeerRecord leaving{.Id = InstanceId{1}, .Zone = "a", .Peers = {1, 2}};
+      PeerRecord leaving{
+          .Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}};
       leaving.Leaving = true;
       late.Now += 4s;
       late.step(Ok);
--- a/tests/RouteHistoryWriterTest.cpp
+++ b/tests/RouteHistoryWriterTest.cpp
@@ -70,11 +70,11 @@
   void put(const std::string &key, const std::string &value) {
     // The store returns values as they were written, so the value is decoded as
     // a page of the store.
-    auto page = Dialect.readPage(R"({"items":[{"key":")" + key +
-                                 R"(","revision":)" + std::to_string(Revision) +
-                                 R"(,"value":")" + value + "\"}]}");
+    auto page = Dialect.parsePage(
+        R"({"items":[{"key":")" + key + R"(","revision":)" +
+        std::to_string(Revision) + R"(,"value":")" + value + "\"}]}");
     Findings findings;
-    News content = Dialect.translate(page->Items.at(0), findings);
+    ItemContent content = Dialect.translate(page->Items.at(0), findings);
     expectTrue(findings.empty(), "the written value is readable");
     auto record = std::get<RouteHistoryPart>(content);
     Records[record.Part] = record;
