--- a/include/chicorybank/edge/DirectoryWriter.h
+++ b/include/chicorybank/edge/DirectoryWriter.h
@@ -24,12 +24,12 @@
   /// list the registrations instead. Encoded in base64, a part has to fit into
   /// an item of one megabyte, even if each entry takes 15 bytes.
   static constexpr size_t MaxServers = 50'000;
-  /// The most parts that fit into a transaction together with the note.
+  /// The most parts that fit into a transaction together with the summary.
   static constexpr size_t MaxParts = 31;
 
   explicit DirectoryWriter(const RegistryDialect &dialect) : Dialect(dialect) {}
 
-  /// Takes the local cache, and the note about the stored directory.
+  /// Takes the local cache, and the summary of the stored directory.
   void learn(const RegistryCache &cache, const DirectorySummary &stored,
              Time now);
 
--- a/include/chicorybank/edge/FragmentAssembler.h
+++ b/include/chicorybank/edge/FragmentAssembler.h
@@ -1,8 +1,8 @@
 // Reassembles messages that were sent as several datagrams.
 //
-// Datagrams are lost and arrive in any order. A message that lacks a fragment
-// is dropped when the next one of its sender begins; a receiver that needed it
-// detects the gap by its revision and reads the data elsewhere.
+// Datagrams may be lost, and may arrive in any order. A message that lacks a
+// fragment is dropped when the next one of its sender begins; a receiver that
+// needed it detects the gap by its revision and reads the data elsewhere.
 
 #ifndef CHICORYBANK_EDGE_FRAGMENTASSEMBLER_H
 #define CHICORYBANK_EDGE_FRAGMENTASSEMBLER_H
--- a/include/chicorybank/edge/InstanceRegistrar.h
+++ b/include/chicorybank/edge/InstanceRegistrar.h
@@ -3,8 +3,8 @@
 // A process that restarts before the lease of its predecessor has ended takes
 // over the predecessor's record and lease. This takes two cheap calls instead
 // of two writes; on a day with many restarts, the writes of starting instances
-// are most of all calls. The record is read with `Freshness::MayBeOld`; if the
-// lease has ended since, its renewal shows that.
+// account for most calls. The record is read with `Freshness::MayBeStale`; if
+// the lease has ended since, its renewal shows that.
 //
 // A lease can end unnoticed: it expires while the process is suspended, or the
 // registry removes the record. Renewals then fail with 404, and the record is
--- a/include/chicorybank/edge/OutageGossip.h
+++ b/include/chicorybank/edge/OutageGossip.h
@@ -40,7 +40,7 @@
   /// in a rolling restart.
   static constexpr Duration FormerRetention = std::chrono::seconds(30);
   /// An instance whose record has lapsed stays in the propagation tree for this
-  /// long: a registry may well refuse it for the duration of a lease.
+  /// long: a registry often refuses it for the duration of a lease.
   static constexpr Duration LapsedRetention = std::chrono::seconds(12);
 
   /// The mean number of instances of its own zone that send to an instance at a
--- a/include/chicorybank/edge/UnreachableReportFilter.h
+++ b/include/chicorybank/edge/UnreachableReportFilter.h
@@ -26,7 +26,7 @@
   /// must not be forwarded.
   static constexpr size_t MaxReports = 256;
 
-  /// Returns whether to forward a report of this server, and remembers it.
+  /// Returns whether to forward a report of this server; remembers it if so.
   bool shouldForward(token::BackendId id, Time now);
 
 private:
--- a/lib/edge/DirectoryWriter.cpp
+++ b/lib/edge/DirectoryWriter.cpp
@@ -48,19 +48,19 @@
     return std::nullopt;
   Schedule.begin();
   ZoneDigests digests = cache.registrationDigests();
-  DirectorySummary note = Stored;
+  DirectorySummary summary = Stored;
   std::map<std::string, std::string> parts;
   for (const std::string &zone : Changed) {
     if (parts.size() == MaxParts)
       break;
     parts[zone] = encodeDirectory({.Servers = cache.registrations(zone),
                                    .Instances = cache.instanceCount()});
-    note.Digests[zone] = digestOf(digests, zone);
+    summary.Digests[zone] = digestOf(digests, zone);
     // The part of a zone without servers is empty and needs no checksum.
-    if (note.Digests[zone] == 0)
-      note.Digests.erase(zone);
+    if (summary.Digests[zone] == 0)
+      summary.Digests.erase(zone);
   }
-  return Dialect.writeDirectory(note, parts);
+  return Dialect.writeDirectory(summary, parts);
 }
 
 } // namespace chicory::edge
--- a/tests/DirectoryWriterTest.cpp
+++ b/tests/DirectoryWriterTest.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// The local cache of an instance, and its writer.
-struct Fixture {
+struct WriterFixture {
   platform::StoreDialect Dialect;
   RegistryCache Cache{Dialect};
   DirectoryWriter Writer{Dialect};
@@ -24,8 +24,8 @@
 
   void read(const Store &store, Time now) {
     Cache.replaceAll(store.list(), Faults);
-    if (const Item *note = store.item("chicorybank/start/digests")) {
-      ItemContent content = Dialect.translate(*note, Faults);
+    if (const Item *summary = store.item("chicorybank/start/digests")) {
+      ItemContent content = Dialect.translate(*summary, Faults);
       Stored = std::get<DirectorySummary>(content);
     }
     Writer.learn(Cache, Stored, now);
@@ -54,7 +54,7 @@
   void writesMissingParts() {
     Store store;
     store.server(1);
-    Fixture one;
+    WriterFixture one;
     one.read(store, Start);
     expectTrue(!one.write(store, Start + 1s), "even the first instance waits");
     expectTrue(one.write(store, Start + 2s), "and writes");
@@ -91,7 +91,7 @@
   void writesNothingForRenewals() {
     Store store;
     store.server(1);
-    Fixture one;
+    WriterFixture one;
     one.read(store, Start);
     one.write(store, Start + 2s);
     for (int n = 0; n < 100; ++n) {
@@ -110,7 +110,7 @@
                 R"({"service":"s","address":"10.0.)" + std::to_string(n / 250) +
                     "." + std::to_string(n % 250 + 1) +
                     R"(:80","zone":"a","slots":2,"state":"ready"})");
-    Fixture one;
+    WriterFixture one;
     int written = 0;
     for (int n = 0; n < 60; ++n) {
       store.server(static_cast<uint64_t>(n) + 1, "draining");
@@ -132,7 +132,7 @@
     store.put(
         "servers/i-2",
         R"({"service":"s","address":"10.0.0.2:80","zone":"b","slots":2,"state":"ready"})");
-    Fixture one;
+    WriterFixture one;
     one.read(store, Start);
     one.write(store, Start + 2s);
     one.read(store, Start + 3s);
--- a/tests/InstanceRegistrarTest.cpp
+++ b/tests/InstanceRegistrarTest.cpp
@@ -20,7 +20,7 @@
                     9);
 }
 
-struct Fixture {
+struct RegistrarFixture {
   InstanceRegistrar Record{
       Dialect, {.Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}}, {}};
   Time Now = Start;
@@ -34,7 +34,7 @@
     return call->Target;
   }
   /// Answers that there is no record of a previous process.
-  Fixture &skipFormerRecord() {
+  RegistrarFixture &skipFormerRecord() {
     step(404);
     return *this;
   }
@@ -63,7 +63,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   void rereadsRecordAfterRestore() {
-    Fixture it;
+    RegistrarFixture it;
     it.announce();
     it.Record.registryRestored();
     expectEqual<std::string>("", it.step(Ok));
@@ -92,7 +92,7 @@
   // under that lease and finds it there. So the number alone does not identify
   // a lease.
   void dropsLeaseFromBeforeRestore() {
-    Fixture it;
+    RegistrarFixture it;
     it.skipFormerRecord();
     auto answer = [&](uint64_t generation, const std::string &body) {
       auto call = it.Record.next(it.Now);
@@ -108,7 +108,7 @@
   }
 
   void createsLeaseWritesRecordAndRenews() {
-    Fixture it;
+    RegistrarFixture it;
     it.skipFormerRecord();
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":5})"));
     expectEqual<std::string>("/-/kv-txn", it.step(Ok));
@@ -121,7 +121,7 @@
   // is suspended for longer than its lease, and then keeps renewing the lease
   // that has ended.
   void createsNewLeaseAfterLeaseEnded() {
-    Fixture it;
+    RegistrarFixture it;
     it.announce();
     it.Now += RegistrarTimes{}.RenewInterval;
     expectEqual<std::string>("/-/kv-keep/5", it.step(404));
@@ -132,7 +132,7 @@
   // removed the key and kept the lease, so a renewed lease does not prove that
   // the record exists.
   void rewritesRemovedRecord() {
-    Fixture it;
+    RegistrarFixture it;
     it.announce();
     it.Now += 1s;
     it.Record.checkRecord(nullptr, it.Now);
@@ -146,7 +146,7 @@
   // the state as of the start. Without regard to the age of the cache, a third
   // of all instances would write their record twice.
   void ignoresCacheFromBeforeTheWrite() {
-    Fixture it;
+    RegistrarFixture it;
     it.announce();
     it.Now += 4200ms;
     it.Record.checkRecord(nullptr, it.Now - 4100ms);
@@ -154,7 +154,7 @@
   }
 
   void retriesAfterDelay() {
-    Fixture it;
+    RegistrarFixture it;
     it.skipFormerRecord();
     expectEqual<std::string>("/-/kv-lease", it.step(503));
     expectEqual<std::string>("", it.step(Ok));
@@ -165,9 +165,9 @@
   }
 
   void marksRecordAsLeaving() {
-    Fixture it;
+    RegistrarFixture it;
     expectTrue(!it.Record.leave(), "there is no record");
-    Fixture other;
+    RegistrarFixture other;
     other.announce();
     auto last = other.Record.leave();
     expectEqual<std::string>("/-/kv-txn", last->Target);
@@ -182,7 +182,7 @@
     other.Now += 10s;
     expectEqual<std::string>("", other.step(Ok));
     section("a lease without a record is ended", [] {
-      Fixture early;
+      RegistrarFixture early;
       early.skipFormerRecord();
       early.step(Ok, R"({"lease":6})");
       expectEqual<std::string>("/-/kv-lease-end/6",
@@ -194,7 +194,7 @@
   // eight seconds of the lease. A new lease and record are two writes at full
   // cost; reading the record and renewing its lease cost a tenth each.
   void takesOverRecordAndLeaseAfterRestart() {
-    Fixture it;
+    RegistrarFixture it;
     expectEqual<std::string>(OwnRecord, it.step(Ok, record(false)));
     expectEqual<std::string>("/-/kv-keep/9", it.step(Ok));
     it.Now += RegistrarTimes{}.RenewInterval;
@@ -205,11 +205,11 @@
   // Its previous process marked the record as leaving. The new one takes over
   // the lease, and has to rewrite a record that exists but is marked.
   void rewritesRecordMarkedAsLeaving() {
-    Fixture it;
+    RegistrarFixture it;
     it.step(Ok, record(true));
     expectEqual<std::string>("/-/kv-txn", it.step(Ok));
     section("the stale read was from before the mark", [] {
-      Fixture late;
+      RegistrarFixture late;
       late.step(Ok, record(false));
       expectEqual<std::string>("/-/kv-keep/9", late.step(Ok));
       PeerRecord leaving{
@@ -224,18 +224,18 @@
 
   // A stale read may return a record whose lease has ended since.
   void createsNewLeaseAfterStaleRead() {
-    Fixture it;
+    RegistrarFixture it;
     it.step(Ok, record(false));
     expectEqual<std::string>("/-/kv-keep/9", it.step(404));
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":10})"));
     section("the record may be marked as leaving", [] {
-      Fixture left;
+      RegistrarFixture left;
       left.step(Ok, record(true));
       expectEqual<std::string>("/-/kv-txn", left.step(404));
       expectEqual<std::string>("/-/kv-lease", left.step(Ok, "{}"));
     });
     section("or be unreadable", [] {
-      Fixture bad;
+      RegistrarFixture bad;
       bad.step(Ok, "no item");
       expectEqual<std::string>("/-/kv-lease", bad.step(Ok, "{}"));
     });
