--- a/include/chicorybank/core/FlowTable.h
+++ b/include/chicorybank/core/FlowTable.h
@@ -63,8 +63,8 @@
   size_t memoryBytes() const { return Slots.size() * sizeof(FlowPin); }
 
 private:
-  size_t home(const FlowKey &key) const;
-  size_t locate(const FlowKey &key) const;
+  size_t preferredSlot(const FlowKey &key) const;
+  size_t findSlot(const FlowKey &key) const;
   void eraseAt(size_t i);
 
   size_t Capacity;
--- a/include/chicorybank/core/Membership.h
+++ b/include/chicorybank/core/Membership.h
@@ -84,7 +84,7 @@
 private:
   static constexpr size_t SentTimesKept = 64;
 
-  void rebuild(Time now);
+  void rebuildLists(Time now);
 
   InstanceInfo Self;
   uint64_t Incarnation;
--- a/include/chicorybank/core/OwnershipTracker.h
+++ b/include/chicorybank/core/OwnershipTracker.h
@@ -92,16 +92,18 @@
     MembersDocument Document;
     Time LearnedAt;
     /// When each previous member was first known to have moved on.
-    std::map<InstanceId, Time> MovedOn;
+    std::map<InstanceId, Time> AcknowledgedAt;
     /// When a majority of the previous members was first known to have.
-    std::optional<Time> MajorityMovedOn;
+    std::optional<Time> MajorityAcknowledgedAt;
   };
 
   Time leaseUntil() const;
-  OwnershipView tenure(uint64_t flowHash, size_t newest, Time now) const;
+  OwnershipView ownershipUnder(uint64_t flowHash, size_t newest,
+                               Time now) const;
   std::optional<Time> handedOverAt(const Transition &transition,
                                    InstanceId previousOwner, Time now) const;
-  void noteMovedOn(Transition &transition, InstanceId member, Time now);
+  void recordAcknowledgement(Transition &transition, InstanceId member,
+                             Time now);
 
   InstanceId Self;
   Time StartedAt;
@@ -109,7 +111,7 @@
   std::deque<Transition> Transitions;
   std::map<InstanceId, Grant> Grants;
   /// The rest of the lease that was held under the previous document.
-  Time Inherited;
+  Time InheritedLeaseUntil;
 };
 
 } // namespace chicory
--- a/include/chicorybank/core/Targets.h
+++ b/include/chicorybank/core/Targets.h
@@ -121,10 +121,10 @@
     double BorrowWindow = 1;
   };
 
-  bool usable(const TargetState &state, Time now) const;
-  double ramp(const TargetState &state, Time now) const;
-  bool mayEject(const TargetState &state, Time now) const;
-  void failed(TargetState &state, Time now);
+  bool isAvailable(const TargetState &state, Time now) const;
+  double slowStartFactor(const TargetState &state, Time now) const;
+  bool canEject(const TargetState &state, Time now) const;
+  void recordFailure(TargetState &state, Time now);
 
   InstanceId Self;
   std::minstd_rand Random;
--- a/lib/core/ControlPath.cpp
+++ b/lib/core/ControlPath.cpp
@@ -4,17 +4,17 @@
 
 namespace {
 
-constexpr Duration PullAgainAfter = std::chrono::milliseconds(500);
+constexpr Duration PullRetryInterval = std::chrono::milliseconds(500);
 // A member that is not heard stays in the document for this long at least, so
 // that a hiccup does not move flows.
-constexpr Duration WantedFor = std::chrono::milliseconds(300);
+constexpr Duration MinProposalDelay = std::chrono::milliseconds(300);
 // Instances propose one after another, so that mostly one does.
 constexpr Duration ProposalStagger = std::chrono::milliseconds(400);
 constexpr size_t ProbersPerTarget = 2;
 constexpr size_t MaxIntroductions = 2;
-constexpr Duration IntroduceAfter = std::chrono::seconds(1);
+constexpr Duration IntroductionDelay = std::chrono::seconds(1);
 // News goes out at once, but bursts of news share a heartbeat.
-constexpr Duration HeartbeatGap = std::chrono::milliseconds(200);
+constexpr Duration MinHeartbeatGap = std::chrono::milliseconds(200);
 
 bool contains(const std::vector<InstanceId> &ids, InstanceId id) {
   return std::find(ids.begin(), ids.end(), id) != ids.end();
@@ -36,15 +36,15 @@
                          RequestPath &requests)
     : Shared(state), Flows(flows), Requests(requests) {}
 
-void ControlPath::note(Actions &actions, std::string event,
-                       std::string detail) const {
+void ControlPath::logEvent(Actions &actions, std::string event,
+                           std::string detail) const {
   actions.emplace_back(LogEvent{.Why = Reason::None,
                                 .Event = std::move(event),
                                 .Detail = std::move(detail)});
 }
 
-void ControlPath::heartbeat(const Heartbeat &message, Time now,
-                            Actions &actions) {
+void ControlPath::handleHeartbeat(const Heartbeat &message, Time now,
+                                  Actions &actions) {
   bool newPeer = !Shared.Members.isReachable(message.Sender.Id, now);
   if (!Shared.Members.recordHeartbeat(message, now))
     return;
@@ -52,55 +52,55 @@
   if (message.EchoIncarnation == Shared.Options.Incarnation)
     echoedAt = Shared.Members.sentAt(message.Echo);
   if (message.Document.Version > MembersVersion{})
-    members(message.Document, now, actions);
-  Shared.Owners.recordHeartbeat(message.Sender.Id, message.Members, echoedAt,
-                                now);
-  instances(message.Introductions, now);
+    handleMembers(message.Document, now, actions);
+  Shared.Ownership.recordHeartbeat(message.Sender.Id, message.Members, echoedAt,
+                                   now);
+  addInstances(message.Introductions, now);
   for (TargetId it : message.Draining)
-    Shared.Book.markDraining(it, false, now);
+    Shared.TargetStates.markDraining(it, false, now);
   bool behind = message.Rules > Shared.History.version();
-  if (behind && now - LastPull > PullAgainAfter) {
+  if (behind && now - LastPull > PullRetryInterval) {
     LastPull = now;
     const Peer *peer = Shared.Members.find(message.Sender.Id);
     actions.emplace_back(
         PullRules{.From = peer->Info, .Version = message.Rules});
   }
   if (newPeer) {
-    note(actions, "peer_heard", std::to_string(message.Sender.Id.Value));
+    logEvent(actions, "peer_heard", std::to_string(message.Sender.Id.Value));
     NextHeartbeat = now;
   }
-  homesChanged();
+  updateHomes();
 }
 
-void ControlPath::refused(InstanceId peer, Actions &actions) {
+void ControlPath::handleRefusedConnection(InstanceId peer, Actions &actions) {
   Shared.Members.recordRefusal(peer);
   if (std::find(KnownHomes.begin(), KnownHomes.end(), peer) != KnownHomes.end())
-    note(actions, "peer_refused", std::to_string(peer.Value));
-  homesChanged();
+    logEvent(actions, "peer_refused", std::to_string(peer.Value));
+  updateHomes();
 }
 
-void ControlPath::homesChanged() {
+void ControlPath::updateHomes() {
   if (KnownHomes == Shared.Members.homes())
     return;
   KnownHomes = Shared.Members.homes();
   if (const CompiledRules *rules = Shared.History.newest())
-    Shared.Book.assignSlots(*rules, KnownHomes);
+    Shared.TargetStates.assignSlots(*rules, KnownHomes);
 }
 
-void ControlPath::rules(const CompiledRulesPtr &rules, Time now,
-                        Actions &actions) {
+void ControlPath::handleRules(const CompiledRulesPtr &rules, Time now,
+                              Actions &actions) {
   if (!Shared.History.learn(rules))
     return;
-  Shared.Book.learn(*rules, now);
-  Shared.Book.assignSlots(*rules, Shared.Members.homes());
-  note(actions, "rules_in_force", std::to_string(rules->version().Value));
+  Shared.TargetStates.learn(*rules, now);
+  Shared.TargetStates.assignSlots(*rules, Shared.Members.homes());
+  logEvent(actions, "rules_in_force", std::to_string(rules->version().Value));
   // Tell the others at once: some may be cut off from the platform.
   NextHeartbeat = now;
   tryToGoLive(now, actions);
 }
 
 void ControlPath::tryToGoLive(Time now, Actions &actions) {
-  if (Shared.Members.state() != InstanceState::Joining || StopAsked)
+  if (Shared.Members.state() != InstanceState::Joining || StopRequestedAt)
     return;
   RuleVersion own = Shared.History.version();
   bool current = own > RuleVersion{};
@@ -112,41 +112,42 @@
     return;
   Shared.Members.setState(InstanceState::Live);
   NextHeartbeat = now;
-  note(actions, "live", "rules=" + std::to_string(own.Value));
-  homesChanged();
+  logEvent(actions, "live", "rules=" + std::to_string(own.Value));
+  updateHomes();
 }
 
-void ControlPath::members(const MembersDocument &document, Time now,
-                          Actions &actions) {
-  if (!Shared.Owners.learn(document, now))
+void ControlPath::handleMembers(const MembersDocument &document, Time now,
+                                Actions &actions) {
+  if (!Shared.Ownership.learn(document, now))
     return;
   NextHeartbeat = now;
-  note(actions, "members",
-       "version=" + std::to_string(document.Version.Value) +
-           ";members=" + textOf(document.Members));
+  logEvent(actions, "members",
+           "version=" + std::to_string(document.Version.Value) +
+               ";members=" + textOf(document.Members));
 }
 
-void ControlPath::instances(const std::vector<InstanceInfo> &named, Time now) {
+void ControlPath::addInstances(const std::vector<InstanceInfo> &named,
+                               Time now) {
   for (const InstanceInfo &it : named)
     Shared.Members.addPeer(it, now);
 }
 
-void ControlPath::stop(Time now, Actions &actions) {
-  if (StopAsked)
+void ControlPath::startStop(Time now, Actions &actions) {
+  if (StopRequestedAt)
     return;
-  StopAsked = now;
+  StopRequestedAt = now;
   Shared.Members.setState(InstanceState::Leaving);
   NextHeartbeat = now;
-  note(actions, "leaving", "");
-  homesChanged();
+  logEvent(actions, "leaving", "");
+  updateHomes();
 }
 
-void ControlPath::report(const PacketInFlight &packet, Time now) {
-  Shared.Book.recordPacket(packet.From, now);
+void ControlPath::handleReport(const PacketInFlight &packet, Time now) {
+  Shared.TargetStates.recordPacket(packet.From, now);
   if (packet.Content.Draining)
-    Shared.Book.markDraining(packet.From, true, now);
+    Shared.TargetStates.markDraining(packet.From, true, now);
   else
-    Shared.Book.clearDraining(packet.From);
+    Shared.TargetStates.clearDraining(packet.From);
 }
 
 std::vector<InstanceInfo> ControlPath::introductionsFor(const Peer &receiver,
@@ -156,7 +157,7 @@
     bool known =
         id == receiver.Info.Id || contains(receiver.ReachablePeers, id);
     // Mostly the two find each other without help; that is cheaper.
-    bool settled = now - peer.KnownSince > IntroduceAfter;
+    bool settled = now - peer.KnownSince > IntroductionDelay;
     if (!known && settled && Shared.Members.isReachable(id, now) &&
         out.size() < MaxIntroductions)
       out.push_back(peer.Info);
@@ -167,8 +168,8 @@
 void ControlPath::sendHeartbeats(Time now, Actions &actions) {
   Heartbeat common = Shared.Members.nextHeartbeat(now);
   common.Rules = Shared.History.version();
-  common.Members = Shared.Owners.document().Version;
-  common.Draining = Shared.Book.drainsToAnnounce(now);
+  common.Members = Shared.Ownership.document().Version;
+  common.Draining = Shared.TargetStates.drainsToAnnounce(now);
   for (const auto &[id, peer] : Shared.Members.peers()) {
     Heartbeat message = common;
     message.Echo = peer.LastSequence;
@@ -177,18 +178,18 @@
     if (contains(peer.ReachablePeers, Shared.self()))
       message.Sender = {.Id = Shared.self()}; // It has the addresses.
     if (peer.Members < common.Members)
-      message.Document = Shared.Owners.document();
+      message.Document = Shared.Ownership.document();
     actions.emplace_back(SendHeartbeat{.To = peer.Info, .Message = message});
   }
 }
 
 std::vector<InstanceId> ControlPath::wantedMembers(Time now) const {
   std::vector<InstanceId> out = Shared.Members.homes();
-  for (InstanceId it : Shared.Owners.document().Members) {
+  for (InstanceId it : Shared.Ownership.document().Members) {
     bool present = contains(out, it);
     const Peer *peer = Shared.Members.find(it);
     bool leaves = it == Shared.self()
-                      ? StopAsked.has_value()
+                      ? StopRequestedAt.has_value()
                       : peer != nullptr &&
                             Shared.Members.isReachable(it, now) &&
                             peer->State == InstanceState::Leaving;
@@ -205,13 +206,13 @@
 Duration ControlPath::proposalDelay() const {
   const std::vector<InstanceId> &homes = Shared.Members.homes();
   auto it = std::find(homes.begin(), homes.end(), Shared.self());
-  return WantedFor + ProposalStagger * (it - homes.begin());
+  return MinProposalDelay + ProposalStagger * (it - homes.begin());
 }
 
 void ControlPath::proposeMembers(Time now, Actions &actions) {
   if (Shared.Members.state() == InstanceState::Joining)
     return;
-  const MembersDocument &current = Shared.Owners.document();
+  const MembersDocument &current = Shared.Ownership.document();
   std::vector<InstanceId> wanted = wantedMembers(now);
   if (wanted == current.Members || wanted.empty()) {
     WantedSince.reset();
@@ -224,16 +225,17 @@
   // Writing a document before the one before the last is void would break
   // the hand-over rule of `OwnershipTracker`.
   bool due = now - *WantedSince >= proposalDelay() &&
-             Shared.Owners.isPreviousDocumentRetired(now);
+             Shared.Ownership.isPreviousDocumentRetired(now);
   // The smaller side of a partition could remove the larger one, and gain
   // nothing: it can't retire the larger side's document.
-  auto heard = [&](InstanceId it) {
+  auto reachable = [&](InstanceId it) {
     return it == Shared.self() || Shared.Members.isReachable(it, now);
   };
-  auto reach =
-      std::count_if(current.Members.begin(), current.Members.end(), heard);
-  bool majority = current.Members.empty() ||
-                  static_cast<size_t>(reach) > current.Members.size() / 2;
+  auto reachableCount =
+      std::count_if(current.Members.begin(), current.Members.end(), reachable);
+  bool majority =
+      current.Members.empty() ||
+      static_cast<size_t>(reachableCount) > current.Members.size() / 2;
   if (!due || !majority)
     return;
   WantedSince = now;
@@ -262,8 +264,8 @@
   }
 }
 
-bool ControlPath::handedOver(Time now) const {
-  const MembersDocument &document = Shared.Owners.document();
+bool ControlPath::hasHandedOver(Time now) const {
+  const MembersDocument &document = Shared.Ownership.document();
   if (contains(document.Members, Shared.self()))
     return false;
   for (InstanceId it : Shared.Members.homes()) {
@@ -276,32 +278,33 @@
 }
 
 void ControlPath::checkStop(Time now, Actions &actions) {
-  if (!StopAsked || StopTold)
+  if (!StopRequestedAt || StopReported)
     return;
-  if (!handedOver(now))
+  if (!hasHandedOver(now))
     OwnsNothingSince.reset();
   else if (!OwnsNothingSince)
     OwnsNothingSince = now;
   // The new owners may ask about requests until their deadlines have passed.
   bool alone = Shared.Members.homes().empty();
-  bool asked = OwnsNothingSince &&
-               now - *OwnsNothingSince > Shared.Options.Requests.MaxRequestLife;
-  bool quiet = Requests.unfinished() == 0;
-  bool late = now - *StopAsked > Shared.Options.StopTimeout;
-  if (!(quiet && (alone || asked)) && !late)
+  bool queriesOver =
+      OwnsNothingSince &&
+      now - *OwnsNothingSince > Shared.Options.Requests.MaxRequestLife;
+  bool idle = Requests.unfinished() == 0;
+  bool timedOut = now - *StopRequestedAt > Shared.Options.StopTimeout;
+  if (!(idle && (alone || queriesOver)) && !timedOut)
     return;
-  StopTold = true;
-  note(actions, "safe_to_stop",
-       "unfinished=" + std::to_string(Requests.unfinished()) +
-           ";timed_out=" + (late ? "true" : "false"));
+  StopReported = true;
+  logEvent(actions, "safe_to_stop",
+           "unfinished=" + std::to_string(Requests.unfinished()) +
+               ";timed_out=" + (timedOut ? "true" : "false"));
   actions.emplace_back(SafeToStop{});
 }
 
 void ControlPath::tick(Time now, Actions &actions) {
   Shared.Members.update(now);
-  homesChanged();
+  updateHomes();
   tryToGoLive(now, actions);
-  bool due = now >= NextHeartbeat && now - LastHeartbeat >= HeartbeatGap;
+  bool due = now >= NextHeartbeat && now - LastHeartbeat >= MinHeartbeatGap;
   if (due) {
     LastHeartbeat = now;
     NextHeartbeat = now + Shared.Options.Membership.HeartbeatInterval;
--- a/lib/core/ControlPath.h
+++ b/lib/core/ControlPath.h
@@ -14,13 +14,14 @@
 public:
   ControlPath(CoreState &state, FlowPath &flows, RequestPath &requests);
 
-  void heartbeat(const Heartbeat &message, Time now, Actions &actions);
-  void refused(InstanceId peer, Actions &actions);
-  void rules(const CompiledRulesPtr &rules, Time now, Actions &actions);
-  void members(const MembersDocument &document, Time now, Actions &actions);
-  void instances(const std::vector<InstanceInfo> &named, Time now);
-  void stop(Time now, Actions &actions);
-  void report(const PacketInFlight &packet, Time now);
+  void handleHeartbeat(const Heartbeat &message, Time now, Actions &actions);
+  void handleRefusedConnection(InstanceId peer, Actions &actions);
+  void handleRules(const CompiledRulesPtr &rules, Time now, Actions &actions);
+  void handleMembers(const MembersDocument &document, Time now,
+                     Actions &actions);
+  void addInstances(const std::vector<InstanceInfo> &named, Time now);
+  void startStop(Time now, Actions &actions);
+  void handleReport(const PacketInFlight &packet, Time now);
   void tick(Time now, Actions &actions);
 
 private:
@@ -28,14 +29,14 @@
                                              Time now) const;
   void sendHeartbeats(Time now, Actions &actions);
   void tryToGoLive(Time now, Actions &actions);
-  void homesChanged();
+  void updateHomes();
   void proposeMembers(Time now, Actions &actions);
   std::vector<InstanceId> wantedMembers(Time now) const;
   Duration proposalDelay() const;
   void probeTargets(Actions &actions);
   void checkStop(Time now, Actions &actions);
-  bool handedOver(Time now) const;
-  void note(Actions &actions, std::string event, std::string detail) const;
+  bool hasHandedOver(Time now) const;
+  void logEvent(Actions &actions, std::string event, std::string detail) const;
 
   CoreState &Shared;
   FlowPath &Flows;
@@ -48,9 +49,9 @@
   /// Since when the members document has differed from what it should be.
   std::optional<Time> WantedSince;
   std::vector<InstanceId> LastWanted;
-  std::optional<Time> StopAsked;
+  std::optional<Time> StopRequestedAt;
   std::optional<Time> OwnsNothingSince;
-  bool StopTold = false;
+  bool StopReported = false;
 };
 
 } // namespace chicory
--- a/lib/core/Core.cpp
+++ b/lib/core/Core.cpp
@@ -15,10 +15,10 @@
 // a former home.
 constexpr uint8_t MaxHops = 3;
 // Packets that wait for a newer rule set, and for how long.
-constexpr size_t MaxWaiting = 1024;
-constexpr Duration WaitForRules = std::chrono::milliseconds(300);
+constexpr size_t MaxWaitingPackets = 1024;
+constexpr Duration MaxWaitForRules = std::chrono::milliseconds(300);
 
-bool isAboutRequest(const Packet &packet) {
+bool concernsRequest(const Packet &packet) {
   switch (packet.Kind) {
   case PacketKind::Request:
   case PacketKind::Answer:
@@ -43,26 +43,28 @@
   void on(const ForwardedPacketArrived &event);
   void on(const QueryArrived &event);
   void on(const HeartbeatArrived &event) {
-    Control.heartbeat(event.Message, Now, *Out);
+    Control.handleHeartbeat(event.Message, Now, *Out);
+  }
+  void on(const PeerRefused &event) {
+    Control.handleRefusedConnection(event.Peer, *Out);
   }
-  void on(const PeerRefused &event) { Control.refused(event.Peer, *Out); }
   void on(const RulesLearned &event);
   void on(const MembersLearned &event) {
-    Control.members(event.Document, Now, *Out);
+    Control.handleMembers(event.Document, Now, *Out);
   }
   void on(const InstancesDiscovered &event) {
-    Control.instances(event.Instances, Now);
+    Control.addInstances(event.Instances, Now);
   }
-  void on(const StopRequested & /*event*/) { Control.stop(Now, *Out); }
+  void on(const StopRequested & /*event*/) { Control.startStop(Now, *Out); }
   void on(const Tick & /*event*/);
 
   void route(const PacketInFlight &packet, uint8_t hops);
   InstanceId destination(const Packet &packet) const;
-  void local(const PacketInFlight &packet, uint8_t hops);
-  void releaseWaiting();
+  void handleHere(const PacketInFlight &packet, uint8_t hops);
+  void retryWaiting();
 
   /// A packet from an instance that holds newer rules than this one.
-  struct Waiting {
+  struct WaitingPacket {
     ForwardedPacketArrived Event;
     Time Until;
   };
@@ -71,15 +73,16 @@
   FlowPath Flows;
   RequestPath Requests;
   ControlPath Control;
-  std::vector<Waiting> WaitingForRules;
+  std::vector<WaitingPacket> WaitingForRules;
   Time Now;
   Actions *Out = nullptr;
 };
 
 InstanceId CoreImpl::destination(const Packet &packet) const {
   uint64_t hash = hashFlow(packet.Flow);
-  if (isAboutRequest(packet)) {
-    InstanceId owner = rendezvousFirst(hash, State.Owners.document().Members);
+  if (concernsRequest(packet)) {
+    InstanceId owner =
+        rendezvousFirst(hash, State.Ownership.document().Members);
     if (owner == State.self() || State.Members.isReachable(owner, Now))
       return owner;
   }
@@ -91,34 +94,34 @@
 void CoreImpl::route(const PacketInFlight &packet, uint8_t hops) {
   const Packet &content = packet.Content;
   if (content.Kind == PacketKind::Report)
-    return Control.report(packet, Now);
+    return Control.handleReport(packet, Now);
   if (content.Kind == PacketKind::Probe)
-    return State.refuse(Reason::BadPacket);
+    return State.countRefusal(Reason::BadPacket);
   InstanceId to = destination(content);
   // An instance that joins and knows no home yet must not judge: it would
   // reset established flows because it has never heard of them. The caller's
   // next packet finds a home.
-  bool blind =
+  bool knowsNoHome =
       to == InstanceId{} && State.Members.state() == InstanceState::Joining;
-  if (blind)
-    return State.refuse(Reason::NoRules);
+  if (knowsNoHome)
+    return State.countRefusal(Reason::NoRules);
   // During a hand-over the former owner holds the request, while members
   // already name the new one. Passed to and fro between them, the parts of an
   // answer would end at different instances and the caller would get half.
-  bool ours = content.ToCaller && Requests.holds(content);
-  bool here = ours || to == State.self() || to == InstanceId{};
+  bool recordedHere = content.ToCaller && Requests.hasRecord(content);
+  bool here = recordedHere || to == State.self() || to == InstanceId{};
   if (!here && hops < MaxHops)
     return State.forward(to, packet, hops + 1, *Out);
   if (!here)
-    State.refuse(Reason::HopLimit);
-  local(packet, hops);
+    State.countRefusal(Reason::HopLimit);
+  handleHere(packet, hops);
 }
 
-void CoreImpl::local(const PacketInFlight &packet, uint8_t hops) {
+void CoreImpl::handleHere(const PacketInFlight &packet, uint8_t hops) {
   const Packet &content = packet.Content;
   switch (content.Kind) {
   case PacketKind::Request:
-    return Requests.request(packet, hops, Now, *Out);
+    return Requests.handleRequest(packet, hops, Now, *Out);
   case PacketKind::Cancel:
     return Requests.cancel(content, Now, *Out);
   case PacketKind::Answer:
@@ -130,9 +133,9 @@
       return Requests.fromTarget(packet, hops, Now, *Out);
     if (!content.ToCaller)
       Requests.flowClosed(content.Flow, Now, *Out);
-    return Flows.packet(packet, Now, *Out);
+    return Flows.handlePacket(packet, Now, *Out);
   default:
-    return Flows.packet(packet, Now, *Out);
+    return Flows.handlePacket(packet, Now, *Out);
   }
 }
 
@@ -144,44 +147,44 @@
     return route(event.Packet, event.Hops);
   // Another instance has already seen newer rules, and may have decided by
   // them. Deciding by older ones now would send this flow elsewhere.
-  if (WaitingForRules.size() >= MaxWaiting)
-    return State.refuse(Reason::NoRules);
-  WaitingForRules.push_back({.Event = event, .Until = Now + WaitForRules});
+  if (WaitingForRules.size() >= MaxWaitingPackets)
+    return State.countRefusal(Reason::NoRules);
+  WaitingForRules.push_back({.Event = event, .Until = Now + MaxWaitForRules});
   const Peer *peer = State.Members.find(event.Sender);
   if (peer != nullptr)
     Out->emplace_back(PullRules{.From = peer->Info, .Version = event.Rules});
 }
 
-void CoreImpl::releaseWaiting() {
-  std::vector<Waiting> waiting = std::exchange(WaitingForRules, {});
-  for (Waiting &it : waiting) {
+void CoreImpl::retryWaiting() {
+  std::vector<WaitingPacket> waiting = std::exchange(WaitingForRules, {});
+  for (WaitingPacket &it : waiting) {
     if (it.Event.Rules <= State.History.version())
       route(it.Event.Packet, it.Event.Hops);
     else if (it.Until > Now)
       WaitingForRules.push_back(std::move(it));
     else
-      State.refuse(Reason::NoRules);
+      State.countRefusal(Reason::NoRules);
   }
 }
 
 void CoreImpl::on(const QueryArrived &event) {
   if (const auto *query = std::get_if<FlowQuery>(&event.Message)) {
     if (query->Request == RequestId{})
-      Flows.query(*query, *Out);
+      Flows.answerQuery(*query, *Out);
     else
-      Requests.query(*query, Now, *Out);
+      Requests.answerQuery(*query, Now, *Out);
     return;
   }
   const auto &reply = std::get<FlowReply>(event.Message);
   if (reply.Request == RequestId{})
-    Flows.reply(reply, Now, *Out);
+    Flows.handleReply(reply, Now, *Out);
   else
-    Requests.reply(reply, Now, *Out);
+    Requests.handleReply(reply, Now, *Out);
 }
 
 void CoreImpl::on(const RulesLearned &event) {
-  Control.rules(event.Rules, Now, *Out);
-  releaseWaiting();
+  Control.handleRules(event.Rules, Now, *Out);
+  retryWaiting();
 }
 
 void CoreImpl::on(const Tick & /*event*/) {
@@ -189,7 +192,7 @@
   Flows.tick(Now, *Out);
   Requests.tick(Now, *Out);
   if (!WaitingForRules.empty())
-    releaseWaiting();
+    retryWaiting();
 }
 
 Core::Core(CoreOptions options, Time startedAt)
@@ -211,9 +214,9 @@
   out.QueuedNow = Impl->Requests.queued();
   out.HomesNow = Impl->State.Members.homes().size();
   out.Rules = Impl->State.History.version();
-  out.Members = Impl->State.Owners.document().Version;
+  out.Members = Impl->State.Ownership.document().Version;
   out.State = Impl->State.Members.state();
-  out.HoldsLease = Impl->State.Owners.holdsLease(Impl->Now);
+  out.HoldsLease = Impl->State.Ownership.holdsLease(Impl->Now);
   return out;
 }
 
@@ -224,7 +227,7 @@
                   .Replier = state.self(),
                   .Rules = state.History.version(),
                   .Home = state.homeOf(hash),
-                  .Owner = state.Owners.ownershipOf(hash, now).Owner};
+                  .Owner = state.Ownership.ownershipOf(hash, now).Owner};
   if (const FlowPin *pin = Impl->Flows.find(flow)) {
     out.PinnedTarget = pin->PinnedTarget;
     const CompiledRules *rules = state.History.newest();
@@ -245,16 +248,18 @@
     return out;
   }
   out.ServiceName = service->Name;
-  out.NewTarget = state.Book.chooseForFlow(*service, hash,
-                                           state.Members.homes().size(), now);
+  out.NewTarget = state.TargetStates.chooseForFlow(
+      *service, hash, state.Members.homes().size(), now);
   if (!out.NewTarget)
     out.Why = Reason::NoTarget;
   return out;
 }
 
 const Membership &Core::membership() const { return Impl->State.Members; }
-const OwnershipTracker &Core::ownership() const { return Impl->State.Owners; }
-const Targets &Core::targets() const { return Impl->State.Book; }
+const OwnershipTracker &Core::ownership() const {
+  return Impl->State.Ownership;
+}
+const Targets &Core::targets() const { return Impl->State.TargetStates; }
 const CompiledRules *Core::rules() const {
   return Impl->State.History.newest();
 }
--- a/lib/core/CoreState.h
+++ b/lib/core/CoreState.h
@@ -17,17 +17,17 @@
   CoreState(CoreOptions options, Time startedAt)
       : Options(std::move(options)), StartedAt(startedAt),
         Members(Options.Self, Options.Incarnation, Options.Membership),
-        Owners(Options.Self.Id, startedAt, Options.Ownership),
+        Ownership(Options.Self.Id, startedAt, Options.Ownership),
         History(Options.Flows.HistoryDepth),
-        Book(Options.Self.Id, Options.Seed, Options.Targets),
+        TargetStates(Options.Self.Id, Options.Seed, Options.Targets),
         Random(Options.Seed) {}
 
   CoreOptions Options;
   Time StartedAt;
   Membership Members;
-  OwnershipTracker Owners;
+  OwnershipTracker Ownership;
   RuleHistory History;
-  Targets Book;
+  Targets TargetStates;
   std::mt19937_64 Random;
   CoreStats Stats;
 
@@ -38,8 +38,8 @@
     return rendezvousFirst(flowHash, Members.homes());
   }
 
-  void refuse(Reason why) { ++Stats.Refusals[static_cast<size_t>(why)]; }
-  void retried(Reason why) { ++Stats.Retries[static_cast<size_t>(why)]; }
+  void countRefusal(Reason why) { ++Stats.Refusals[static_cast<size_t>(why)]; }
+  void countRetry(Reason why) { ++Stats.Retries[static_cast<size_t>(why)]; }
 
   /// A deadline on the wire as a time of this core.
   Time fromWire(int64_t deadlineMs) const {
--- a/lib/core/FlowPath.cpp
+++ b/lib/core/FlowPath.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // How many former homes are asked for a pin.
-constexpr size_t PeersToAsk = 3;
+constexpr size_t MaxPeersQueried = 3;
 // A sweep of the whole table takes about this many ticks.
 constexpr size_t SweepTicks = 250;
 
@@ -20,8 +20,8 @@
 FlowPath::FlowPath(CoreState &state)
     : Shared(state), Flows(state.Options.Flows.MaxFlows) {}
 
-void FlowPath::packet(const PacketInFlight &packet, Time now,
-                      Actions &actions) {
+void FlowPath::handlePacket(const PacketInFlight &packet, Time now,
+                            Actions &actions) {
   if (packet.Content.ToCaller)
     fromTarget(packet, now, actions);
   else
@@ -35,7 +35,7 @@
     unpin(flow);
   if (FlowPin *found = Flows.find(flow)) {
     if (found->Tentative)
-      parkTentative(packet);
+      bufferForNextTarget(packet);
     relayToTarget(*found, packet, now, actions);
     if (packet.Content.Kind == PacketKind::Close ||
         packet.Content.Kind == PacketKind::Reset)
@@ -50,14 +50,14 @@
     recover(packet, now, actions);
 }
 
-void FlowPath::parkTentative(const PacketInFlight &packet) {
+void FlowPath::bufferForNextTarget(const PacketInFlight &packet) {
   // The target may yet reject the flow; the next one gets this packet too.
   auto it = Recoveries.find(packet.Content.Flow);
   bool room =
       it != Recoveries.end() &&
-      it->second.Parked.size() < Shared.Options.Flows.MaxBufferedPackets;
+      it->second.Buffered.size() < Shared.Options.Flows.MaxBufferedPackets;
   if (room)
-    it->second.Parked.push_back(packet);
+    it->second.Buffered.push_back(packet);
 }
 
 void FlowPath::relayToTarget(FlowPin &pin, const PacketInFlight &packet,
@@ -81,7 +81,7 @@
     return refuseFlow(flow, Reason::RuleRefuses, actions);
   if (Flows.size() == Flows.capacity())
     return refuseFlow(flow, Reason::FlowTableFull, actions);
-  std::optional<TargetId> target = Shared.Book.chooseForFlow(
+  std::optional<TargetId> target = Shared.TargetStates.chooseForFlow(
       *service, hashFlow(flow), Shared.Members.homes().size(), now);
   if (!target)
     return refuseFlow(flow, Reason::NoTarget, actions);
@@ -91,7 +91,7 @@
 }
 
 void FlowPath::refuseFlow(const FlowKey &flow, Reason why, Actions &actions) {
-  Shared.refuse(why);
+  Shared.countRefusal(why);
   PacketInFlight reset = barePacket(PacketKind::Reset, flow, true);
   reset.Content.Why = why;
   Shared.sendToCaller(reset, actions);
@@ -106,13 +106,13 @@
   fresh->Service = service;
   fresh->LastFromCaller = seconds(now);
   fresh->LastFromTarget = seconds(now);
-  Shared.Book.flowPinned(target, service);
+  Shared.TargetStates.flowPinned(target, service);
   return fresh;
 }
 
 void FlowPath::unpin(const FlowKey &flow) {
   if (const FlowPin *found = Flows.find(flow)) {
-    Shared.Book.flowEnded(found->PinnedTarget);
+    Shared.TargetStates.flowEnded(found->PinnedTarget);
     Flows.erase(flow);
   }
 }
@@ -121,24 +121,24 @@
                           Actions &actions) {
   const FlowKey &flow = packet.Content.Flow;
   PacketKind kind = packet.Content.Kind;
-  Shared.Book.recordPacket(packet.From, now);
+  Shared.TargetStates.recordPacket(packet.From, now);
   if (Shared.Options.FlowPlacement != Placement::Pinned)
     return Shared.sendToCaller(packet, actions);
-  if (kind == PacketKind::Reset && rejected(packet, now, actions))
+  if (kind == PacketKind::Reset && handleRejection(packet, now, actions))
     return;
   FlowPin *found = Flows.find(flow);
   if (found == nullptr || found->Tentative) {
     // Only a target that has the flow sends for it: this is the pin.
     ServiceId service = Shared.History.serviceOfTarget(packet.From);
     if (service == ServiceId{})
-      return Shared.refuse(Reason::ForeignSource);
+      return Shared.countRefusal(Reason::ForeignSource);
     if (kind == PacketKind::Data) {
       ++Shared.Stats.FlowsRecoveredByTarget;
-      recovered(flow, packet.From, service, now, actions);
+      completeRecovery(flow, packet.From, service, now, actions);
       found = Flows.find(flow);
     }
   } else if (found->PinnedTarget != packet.From) {
-    return Shared.refuse(Reason::ForeignSource);
+    return Shared.countRefusal(Reason::ForeignSource);
   }
   if (found != nullptr) {
     found->LastFromTarget = seconds(now);
@@ -149,8 +149,8 @@
     unpin(flow);
 }
 
-bool FlowPath::rejected(const PacketInFlight &packet, Time now,
-                        Actions &actions) {
+bool FlowPath::handleRejection(const PacketInFlight &packet, Time now,
+                               Actions &actions) {
   const FlowKey &flow = packet.Content.Flow;
   FlowPin *found = Flows.find(flow);
   auto it = Recoveries.find(flow);
@@ -162,12 +162,12 @@
   // The guess was wrong. Without a recovery under way the caller's next packet
   // starts one.
   unpin(flow);
-  if (it != Recoveries.end() && !tryNext(flow, it->second, now, actions))
-    exhausted(flow, now, actions);
+  if (it != Recoveries.end() && !tryNextTarget(flow, it->second, now, actions))
+    failRecovery(flow, now, actions);
   return true;
 }
 
-void FlowPath::exhausted(const FlowKey &flow, Time now, Actions &actions) {
+void FlowPath::failRecovery(const FlowKey &flow, Time now, Actions &actions) {
   auto it = Recoveries.find(flow);
   std::vector<TargetId> silent = std::move(it->second.Silent);
   Recoveries.erase(it);
@@ -175,7 +175,7 @@
     return refuseFlow(flow, Reason::UnknownFlow, actions);
   // A target that did not answer may have the flow, beyond a cut. Resetting
   // the flow would break it; a guess stands until some target shows itself.
-  Shared.refuse(Reason::RecoveryFailed);
+  Shared.countRefusal(Reason::RecoveryFailed);
   TargetId guess = silent.front();
   if (FlowPin *fresh =
           pin(flow, guess, Shared.History.serviceOfTarget(guess), now))
@@ -188,19 +188,19 @@
   const FlowOptions &options = Shared.Options.Flows;
   auto it = Recoveries.find(flow);
   if (it != Recoveries.end()) {
-    if (it->second.Parked.size() < options.MaxBufferedPackets)
-      it->second.Parked.push_back(packet);
+    if (it->second.Buffered.size() < options.MaxBufferedPackets)
+      it->second.Buffered.push_back(packet);
     else
-      Shared.refuse(Reason::RecoveryBufferFull);
+      Shared.countRefusal(Reason::RecoveryBufferFull);
     return;
   }
   if (Recoveries.size() >= options.MaxRecoveries)
-    return Shared.refuse(Reason::RecoveryBufferFull);
+    return Shared.countRefusal(Reason::RecoveryBufferFull);
   Recovery &recovery = Recoveries[flow];
-  recovery.Parked.push_back(packet);
+  recovery.Buffered.push_back(packet);
   recovery.Deadline = now + options.QueryTimeout;
-  std::vector<InstanceId> peers =
-      rendezvousOrder(hashFlow(flow), Shared.Members.homes(), PeersToAsk + 1);
+  std::vector<InstanceId> peers = rendezvousOrder(
+      hashFlow(flow), Shared.Members.homes(), MaxPeersQueried + 1);
   std::erase(peers, Shared.self());
   const std::vector<InstanceId> &leaving = Shared.Members.leavingPeers();
   peers.insert(peers.end(), leaving.begin(), leaving.end());
@@ -208,12 +208,12 @@
     actions.emplace_back(
         SendQuery{.To = peer,
                   .Message = FlowQuery{.Flow = flow, .Asker = Shared.self()}});
-  recovery.PeersAsked = peers.size();
+  recovery.PendingReplies = peers.size();
   if (peers.empty())
-    startTrying(flow, recovery, now, actions);
+    tryTargets(flow, recovery, now, actions);
 }
 
-void FlowPath::query(const FlowQuery &query, Actions &actions) {
+void FlowPath::answerQuery(const FlowQuery &query, Actions &actions) {
   FlowReply reply{.Flow = query.Flow, .Replier = Shared.self()};
   const FlowPin *found = Flows.find(query.Flow);
   if (found != nullptr && !found->Tentative) {
@@ -224,26 +224,27 @@
   actions.emplace_back(SendQuery{.To = query.Asker, .Message = reply});
 }
 
-void FlowPath::reply(const FlowReply &reply, Time now, Actions &actions) {
+void FlowPath::handleReply(const FlowReply &reply, Time now, Actions &actions) {
   auto it = Recoveries.find(reply.Flow);
-  if (it == Recoveries.end() || it->second.PeersAsked == 0)
+  if (it == Recoveries.end() || it->second.PendingReplies == 0)
     return;
   if (reply.Result == QueryResult::Seen) {
     ++Shared.Stats.FlowsRecoveredByPeer;
-    return recovered(reply.Flow, reply.Target, reply.Service, now, actions);
+    return completeRecovery(reply.Flow, reply.Target, reply.Service, now,
+                            actions);
   }
-  if (--it->second.PeersAsked == 0)
-    startTrying(reply.Flow, it->second, now, actions);
+  if (--it->second.PendingReplies == 0)
+    tryTargets(reply.Flow, it->second, now, actions);
 }
 
-void FlowPath::startTrying(const FlowKey &flow, Recovery &recovery, Time now,
-                           Actions &actions) {
-  recovery.PeersAsked = 0;
+void FlowPath::tryTargets(const FlowKey &flow, Recovery &recovery, Time now,
+                          Actions &actions) {
+  recovery.PendingReplies = 0;
   std::vector<ServiceId> services = Shared.History.servicesOf(flow);
   // Trying a target of the wrong service would carry a packet to a service
   // that it was not meant for. Wait for the target that has the flow to send.
   if (services.size() > 1) {
-    Shared.refuse(Reason::AmbiguousService);
+    Shared.countRefusal(Reason::AmbiguousService);
     Recoveries.erase(flow);
     return;
   }
@@ -255,12 +256,12 @@
   recovery.Candidates =
       rendezvousOrder(hashFlow(flow), std::span(std::as_const(targets)),
                       Shared.Options.Flows.MaxRecoveryTries);
-  if (!tryNext(flow, recovery, now, actions))
-    exhausted(flow, now, actions);
+  if (!tryNextTarget(flow, recovery, now, actions))
+    failRecovery(flow, now, actions);
 }
 
-bool FlowPath::tryNext(const FlowKey &flow, Recovery &recovery, Time now,
-                       Actions &actions) {
+bool FlowPath::tryNextTarget(const FlowKey &flow, Recovery &recovery, Time now,
+                             Actions &actions) {
   if (recovery.NextCandidate == recovery.Candidates.size())
     return false;
   TargetId target = recovery.Candidates[recovery.NextCandidate++];
@@ -271,13 +272,13 @@
   fresh->Tentative = true;
   ++Shared.Stats.RecoveryTries;
   recovery.Deadline = now + Shared.Options.Flows.TryTimeout;
-  for (const PacketInFlight &it : recovery.Parked)
+  for (const PacketInFlight &it : recovery.Buffered)
     relayToTarget(*fresh, it, now, actions);
   return true;
 }
 
-void FlowPath::recovered(const FlowKey &flow, TargetId target,
-                         ServiceId service, Time now, Actions &actions) {
+void FlowPath::completeRecovery(const FlowKey &flow, TargetId target,
+                                ServiceId service, Time now, Actions &actions) {
   FlowPin *found = Flows.find(flow);
   bool sameTarget = found != nullptr && found->PinnedTarget == target;
   if (!sameTarget) {
@@ -286,13 +287,13 @@
   }
   auto it = Recoveries.find(flow);
   if (found == nullptr) {
-    Shared.refuse(Reason::FlowTableFull);
+    Shared.countRefusal(Reason::FlowTableFull);
   } else {
     found->Tentative = false;
     // What was sent to this target as a try has reached it.
     if (it != Recoveries.end() && !sameTarget)
-      for (const PacketInFlight &parked : it->second.Parked)
-        relayToTarget(*found, parked, now, actions);
+      for (const PacketInFlight &buffered : it->second.Buffered)
+        relayToTarget(*found, buffered, now, actions);
   }
   if (it != Recoveries.end())
     Recoveries.erase(it);
@@ -303,13 +304,13 @@
   auto idleFor = std::chrono::seconds(
       seconds(now) - std::max(pin.LastFromCaller, pin.LastFromTarget));
   if (idleFor > options.IdleTimeout) {
-    Shared.Book.flowEnded(pin.PinnedTarget);
+    Shared.TargetStates.flowEnded(pin.PinnedTarget);
     return true;
   }
   // A flow is silent when its caller goes on and its target does not, while
   // the target's other flows live: something in between has forgotten the
   // flow. Both ends are told, so that the caller opens a new one.
-  const TargetState *target = Shared.Book.find(pin.PinnedTarget);
+  const TargetState *target = Shared.TargetStates.find(pin.PinnedTarget);
   auto silentFor = std::chrono::seconds(
       pin.LastFromCaller - std::min(pin.LastFromTarget, pin.LastFromCaller));
   bool silent = pin.Unanswered >= options.SilentAfterPackets &&
@@ -321,7 +322,7 @@
   reset.Content.Why = Reason::FlowSilent;
   Shared.sendToTarget(pin.PinnedTarget, reset, actions);
   refuseFlow(pin.key(), Reason::FlowSilent, actions);
-  Shared.Book.flowEnded(pin.PinnedTarget);
+  Shared.TargetStates.flowEnded(pin.PinnedTarget);
   return true;
 }
 
@@ -333,8 +334,8 @@
     auto current = it++;
     if (current->second.Deadline > now)
       continue;
-    if (current->second.PeersAsked > 0) {
-      startTrying(FlowKey(current->first), current->second, now, actions);
+    if (current->second.PendingReplies > 0) {
+      tryTargets(FlowKey(current->first), current->second, now, actions);
       continue;
     }
     // The target said nothing. It may have the flow, or be out of reach.
@@ -343,8 +344,8 @@
       current->second.Silent.push_back(found->PinnedTarget);
       unpin(flow);
     }
-    if (!tryNext(flow, current->second, now, actions))
-      exhausted(flow, now, actions);
+    if (!tryNextTarget(flow, current->second, now, actions))
+      failRecovery(flow, now, actions);
   }
 }
 
--- a/lib/core/FlowPath.h
+++ b/lib/core/FlowPath.h
@@ -25,11 +25,11 @@
   explicit FlowPath(CoreState &state);
 
   /// Open, Data, Close or Reset.
-  void packet(const PacketInFlight &packet, Time now, Actions &actions);
+  void handlePacket(const PacketInFlight &packet, Time now, Actions &actions);
   /// Another instance asks for a pin.
-  void query(const FlowQuery &query, Actions &actions);
+  void answerQuery(const FlowQuery &query, Actions &actions);
   /// Another instance has answered.
-  void reply(const FlowReply &reply, Time now, Actions &actions);
+  void handleReply(const FlowReply &reply, Time now, Actions &actions);
   /// Time passes.
   void tick(Time now, Actions &actions);
 
@@ -42,18 +42,18 @@
   struct Recovery {
     Time Deadline;
     /// How many peers have yet to answer; then targets are tried.
-    size_t PeersAsked = 0;
+    size_t PendingReplies = 0;
     /// Targets in the order in which they are tried.
     std::vector<TargetId> Candidates;
     size_t NextCandidate = 0;
     /// Targets that neither rejected the flow nor showed that they have it.
     std::vector<TargetId> Silent;
-    std::vector<PacketInFlight> Parked;
+    std::vector<PacketInFlight> Buffered;
   };
 
   void fromCaller(const PacketInFlight &packet, Time now, Actions &actions);
   void fromTarget(const PacketInFlight &packet, Time now, Actions &actions);
-  void parkTentative(const PacketInFlight &packet);
+  void bufferForNextTarget(const PacketInFlight &packet);
   void relayToTarget(FlowPin &pin, const PacketInFlight &packet, Time now,
                      Actions &actions);
   void open(const PacketInFlight &packet, Time now, Actions &actions);
@@ -62,14 +62,15 @@
                Time now);
   void unpin(const FlowKey &flow);
   void recover(const PacketInFlight &packet, Time now, Actions &actions);
-  void startTrying(const FlowKey &flow, Recovery &recovery, Time now,
-                   Actions &actions);
-  bool tryNext(const FlowKey &flow, Recovery &recovery, Time now,
-               Actions &actions);
-  void recovered(const FlowKey &flow, TargetId target, ServiceId service,
-                 Time now, Actions &actions);
-  void exhausted(const FlowKey &flow, Time now, Actions &actions);
-  bool rejected(const PacketInFlight &packet, Time now, Actions &actions);
+  void tryTargets(const FlowKey &flow, Recovery &recovery, Time now,
+                  Actions &actions);
+  bool tryNextTarget(const FlowKey &flow, Recovery &recovery, Time now,
+                     Actions &actions);
+  void completeRecovery(const FlowKey &flow, TargetId target, ServiceId service,
+                        Time now, Actions &actions);
+  void failRecovery(const FlowKey &flow, Time now, Actions &actions);
+  bool handleRejection(const PacketInFlight &packet, Time now,
+                       Actions &actions);
   bool expired(const FlowPin &pin, Time now, Actions &actions);
 
   CoreState &Shared;
--- a/lib/core/FlowTable.cpp
+++ b/lib/core/FlowTable.cpp
@@ -7,7 +7,7 @@
 FlowTable::FlowTable(size_t capacity)
     : Capacity(capacity), Slots(capacity + capacity / 4 + 1) {}
 
-size_t FlowTable::home(const FlowKey &key) const {
+size_t FlowTable::preferredSlot(const FlowKey &key) const {
   // The high half of the product maps the hash onto the table without a
   // division (Lemire, "Fast random integer generation in an interval", 2019).
   unsigned __int128 product = hashFlow(key);
@@ -15,10 +15,10 @@
   return static_cast<size_t>(product >> 64);
 }
 
-size_t FlowTable::locate(const FlowKey &key) const {
+size_t FlowTable::findSlot(const FlowKey &key) const {
   uint64_t source = key.Source.packed();
   uint64_t destination = key.Destination.packed();
-  size_t i = home(key);
+  size_t i = preferredSlot(key);
   while (Slots[i].Used) {
     const FlowPin &pin = Slots[i];
     if (pin.SourceBits == source && pin.DestinationBits == destination &&
@@ -30,14 +30,14 @@
 }
 
 FlowPin *FlowTable::find(const FlowKey &key) {
-  FlowPin &pin = Slots[locate(key)];
+  FlowPin &pin = Slots[findSlot(key)];
   return pin.Used ? &pin : nullptr;
 }
 
 FlowPin *FlowTable::insert(const FlowKey &key) {
   if (Count == Capacity)
     return nullptr;
-  FlowPin &pin = Slots[locate(key)];
+  FlowPin &pin = Slots[findSlot(key)];
   pin = {.SourceBits = key.Source.packed(),
          .DestinationBits = key.Destination.packed(),
          .Protocol = key.Protocol,
@@ -47,7 +47,7 @@
 }
 
 void FlowTable::erase(const FlowKey &key) {
-  size_t i = locate(key);
+  size_t i = findSlot(key);
   if (Slots[i].Used)
     eraseAt(i);
 }
@@ -58,7 +58,7 @@
   size_t size = Slots.size();
   size_t next = i + 1 == size ? 0 : i + 1;
   while (Slots[next].Used) {
-    size_t wanted = home(Slots[next].key());
+    size_t wanted = preferredSlot(Slots[next].key());
     size_t distanceToHole = (i + size - wanted) % size;
     size_t distanceToNext = (next + size - wanted) % size;
     if (distanceToHole < distanceToNext) {
--- a/lib/core/Membership.cpp
+++ b/lib/core/Membership.cpp
@@ -11,7 +11,7 @@
 
 void Membership::setState(InstanceState state) {
   State = state;
-  rebuild(LastUpdate);
+  rebuildLists(LastUpdate);
 }
 
 void Membership::addPeer(const InstanceInfo &info, Time now) {
@@ -26,17 +26,17 @@
 
 bool Membership::recordHeartbeat(const Heartbeat &heartbeat, Time now) {
   InstanceId from = heartbeat.Sender.Id;
-  bool bare = !heartbeat.Sender.Peers;
+  bool idOnly = !heartbeat.Sender.Peers;
   // Bare heartbeats go to receivers that are known to have the addresses; one
   // that has forgotten them answers nothing until it gets them again.
-  if (from == Self.Id || (bare && !Peers.contains(from)))
+  if (from == Self.Id || (idOnly && !Peers.contains(from)))
     return false;
   addPeer(heartbeat.Sender, now);
   Peer &peer = Peers[from];
-  bool sameLife = peer.Incarnation == heartbeat.Incarnation;
-  if (sameLife && heartbeat.Sequence <= peer.LastSequence)
+  bool sameProcess = peer.Incarnation == heartbeat.Incarnation;
+  if (sameProcess && heartbeat.Sequence <= peer.LastSequence)
     return false;
-  if (!bare)
+  if (!idOnly)
     peer.Info = heartbeat.Sender;
   peer.Incarnation = heartbeat.Incarnation;
   peer.LastSequence = heartbeat.Sequence;
@@ -46,7 +46,7 @@
   peer.ReachablePeers = heartbeat.ReachablePeers;
   peer.LastHeartbeatAt = now;
   peer.ConnectionRefused = false;
-  rebuild(now);
+  rebuildLists(now);
   return true;
 }
 
@@ -55,7 +55,7 @@
   if (it == Peers.end() || !it->second.LastHeartbeatAt)
     return;
   it->second.ConnectionRefused = true;
-  rebuild(LastUpdate);
+  rebuildLists(LastUpdate);
 }
 
 void Membership::update(Time now) {
@@ -73,10 +73,10 @@
     return now - peer.LastHeartbeatAt.value_or(peer.KnownSince) >
            Options.ForgetAfter;
   });
-  rebuild(now);
+  rebuildLists(now);
 }
 
-void Membership::rebuild(Time now) {
+void Membership::rebuildLists(Time now) {
   LastUpdate = now;
   Homes.clear();
   LeavingPeers.clear();
--- a/lib/core/OwnershipTracker.cpp
+++ b/lib/core/OwnershipTracker.cpp
@@ -30,33 +30,33 @@
   // Nobody can have taken over under the next document but one before this
   // instance announces this one, or a lease time has passed; so the lease that
   // it holds now stays good for its rest, and no request meets a gap.
-  Inherited = std::min(leaseUntil(), now + Options.LeaseTime);
+  InheritedLeaseUntil = std::min(leaseUntil(), now + Options.LeaseTime);
   Transitions.push_back({.Document = document, .LearnedAt = now});
   if (Transitions.size() > TransitionsKept)
     Transitions.pop_front();
-  noteMovedOn(Transitions.back(), Self, now);
+  recordAcknowledgement(Transitions.back(), Self, now);
   for (const auto &[id, grant] : Grants)
     if (grant.Version >= document.Version)
-      noteMovedOn(Transitions.back(), id, now);
+      recordAcknowledgement(Transitions.back(), id, now);
   return true;
 }
 
-void OwnershipTracker::noteMovedOn(Transition &transition, InstanceId member,
-                                   Time now) {
+void OwnershipTracker::recordAcknowledgement(Transition &transition,
+                                             InstanceId member, Time now) {
   const std::vector<InstanceId> &previous = transition.Document.Previous;
   if (!contains(previous, member))
     return;
-  transition.MovedOn.try_emplace(member, now);
-  if (transition.MovedOn.size() >= majorityOf(previous) &&
-      !transition.MajorityMovedOn)
-    transition.MajorityMovedOn = now;
+  transition.AcknowledgedAt.try_emplace(member, now);
+  if (transition.AcknowledgedAt.size() >= majorityOf(previous) &&
+      !transition.MajorityAcknowledgedAt)
+    transition.MajorityAcknowledgedAt = now;
 }
 
 void OwnershipTracker::recordHeartbeat(InstanceId from, MembersVersion version,
                                        std::optional<Time> echoedAt, Time now) {
   for (Transition &it : Transitions)
     if (version >= it.Document.Version)
-      noteMovedOn(it, from, now);
+      recordAcknowledgement(it, from, now);
   Grant &grant = Grants[from];
   if (version > grant.Version)
     grant = {.Version = version, .Until = Time{}};
@@ -77,21 +77,21 @@
     if (id != Self && grant.Version == doc.Version && contains(doc.Members, id))
       until.push_back(grant.Until);
   if (until.size() < needed)
-    return Inherited;
+    return InheritedLeaseUntil;
   std::sort(until.begin(), until.end(), std::greater<>());
-  return std::max(until[needed - 1], Inherited);
+  return std::max(until[needed - 1], InheritedLeaseUntil);
 }
 
 std::optional<Time> OwnershipTracker::handedOverAt(const Transition &transition,
                                                    InstanceId previousOwner,
                                                    Time now) const {
-  if (auto it = transition.MovedOn.find(previousOwner);
-      it != transition.MovedOn.end())
+  if (auto it = transition.AcknowledgedAt.find(previousOwner);
+      it != transition.AcknowledgedAt.end())
     return it->second;
-  if (!transition.MajorityMovedOn)
+  if (!transition.MajorityAcknowledgedAt)
     return std::nullopt;
-  Time retired =
-      *transition.MajorityMovedOn + Options.LeaseTime + Options.LeaseMargin;
+  Time retired = *transition.MajorityAcknowledgedAt + Options.LeaseTime +
+                 Options.LeaseMargin;
   return retired <= now ? std::optional(retired) : std::nullopt;
 }
 
@@ -102,8 +102,8 @@
       [&](InstanceId id) { return handedOverAt(last, id, now).has_value(); });
 }
 
-OwnershipView OwnershipTracker::tenure(uint64_t flowHash, size_t newest,
-                                       Time now) const {
+OwnershipView OwnershipTracker::ownershipUnder(uint64_t flowHash, size_t newest,
+                                               Time now) const {
   OwnershipView out{
       .Owner = Self, .HandOverComplete = true, .OwnedSince = StartedAt};
   // Walk back to the transition that moved the flow to this instance.
@@ -135,7 +135,7 @@
   InstanceId owner = rendezvousFirst(flowHash, doc.Members);
   OwnershipView out{.Owner = owner};
   if (owner == Self)
-    out = tenure(flowHash, Transitions.size() - 1, now);
+    out = ownershipUnder(flowHash, Transitions.size() - 1, now);
   else
     out.PreviousOwner = rendezvousFirst(flowHash, doc.Previous);
   out.LeaseUntil = leaseUntil();
@@ -149,7 +149,7 @@
   for (size_t i = Transitions.size(); i-- > 0;) {
     const MembersDocument &it = Transitions[i].Document;
     if (rendezvousFirst(flowHash, it.Members) == Self)
-      return tenure(flowHash, i, now);
+      return ownershipUnder(flowHash, i, now);
   }
   return std::nullopt;
 }
--- a/lib/core/RequestOutcome.cpp
+++ b/lib/core/RequestOutcome.cpp
@@ -18,10 +18,11 @@
 
 } // namespace
 
-bool RequestPath::passToFormerOwner(const PacketInFlight &packet, uint8_t hops,
-                                    Time now, Actions &actions) {
+bool RequestPath::forwardToFormerOwner(const PacketInFlight &packet,
+                                       uint8_t hops, Time now,
+                                       Actions &actions) {
   uint64_t hash = hashFlow(packet.Content.Flow);
-  OwnershipView view = Shared.Owners.ownershipOf(hash, now);
+  OwnershipView view = Shared.Ownership.ownershipOf(hash, now);
   if (hops >= MaxRequestHops ||
       !Shared.Members.isReachable(view.PreviousOwner, now))
     return false;
@@ -31,32 +32,32 @@
 
 void RequestPath::fromTarget(const PacketInFlight &packet, uint8_t hops,
                              Time now, Actions &actions) {
-  Shared.Book.recordPacket(packet.From, now);
+  Shared.TargetStates.recordPacket(packet.From, now);
   const Packet &content = packet.Content;
   Entry entry =
       Records.find({.Flow = content.Flow, .Request = content.Request});
   if (entry == Records.end()) {
     // The instance that sent the request may have owned the flow before.
-    if (!passToFormerOwner(packet, hops, now, actions))
-      adopt(packet, now, actions);
+    if (!forwardToFormerOwner(packet, hops, now, actions))
+      adoptAnswer(packet, now, actions);
     return;
   }
   if (content.Kind == PacketKind::Answer)
-    answerPart(entry, packet, now, actions);
+    handleAnswerPart(entry, packet, now, actions);
   else
-    refusedByTarget(entry, packet, now, actions);
+    handleTargetRefusal(entry, packet, now, actions);
 }
 
-void RequestPath::adopt(const PacketInFlight &packet, Time now,
-                        Actions &actions) {
+void RequestPath::adoptAnswer(const PacketInFlight &packet, Time now,
+                              Actions &actions) {
   // The instance that sent this request is gone, and its caller still waits.
   // An answer is relayed; a refusal can only become "unknown", since it can't
   // be told what else that instance did.
   const Packet &content = packet.Content;
   if (Shared.History.serviceOfTarget(packet.From) == ServiceId{})
-    return Shared.refuse(Reason::ForeignSource);
+    return Shared.countRefusal(Reason::ForeignSource);
   if (content.Kind != PacketKind::Answer)
-    return refuseStateless(
+    return refuseWithoutRecord(
         content,
         {.Outcome = RefusedOutcome::Unknown, .Why = Reason::MayHaveRun},
         actions);
@@ -66,29 +67,29 @@
   PacketInFlight request = barePacket(PacketKind::Request, content.Flow, false);
   request.Content.Request = content.Request;
   Entry entry = add(request, until);
-  setLife(entry, Adopted{.AnsweredBy = packet.From});
-  answerPart(entry, packet, now, actions);
+  setState(entry, Adopted{.AnsweredBy = packet.From});
+  handleAnswerPart(entry, packet, now, actions);
 }
 
-void RequestPath::answerPart(Entry entry, const PacketInFlight &packet,
-                             Time now, Actions &actions) {
+void RequestPath::handleAnswerPart(Entry entry, const PacketInFlight &packet,
+                                   Time now, Actions &actions) {
   Record &record = entry->second;
   TargetId from = packet.From;
   bool expected = false;
-  if (auto *running = std::get_if<Running>(&record.Life)) {
+  if (auto *running = std::get_if<Running>(&record.State)) {
     expected =
         wasTried(record, from) && running->AnsweredBy.value_or(from) == from;
     if (expected)
       running->AnsweredBy = from;
-  } else if (const auto *adopted = std::get_if<Adopted>(&record.Life)) {
+  } else if (const auto *adopted = std::get_if<Adopted>(&record.State)) {
     expected = adopted->AnsweredBy == from;
-  } else if (!isFinished(record.Life) && wasTried(record, from)) {
+  } else if (!isFinished(record.State) && wasTried(record, from)) {
     // A target that was thought silent answers before the next one is tried.
     expected = true;
-    setLife(entry, Adopted{.AnsweredBy = from});
+    setState(entry, Adopted{.AnsweredBy = from});
   }
   if (!expected)
-    return Shared.refuse(Reason::StrayAnswer);
+    return Shared.countRefusal(Reason::StrayAnswer);
   uint32_t part = packet.Content.Part;
   if (!record.Parts.emplace(part, packet).second)
     return; // A duplicate of a part that the caller has.
@@ -107,14 +108,15 @@
 }
 
 void RequestPath::finishAnswered(Entry entry, Time now, Actions &actions) {
-  const auto *running = std::get_if<Running>(&entry->second.Life);
-  bool otherAnswered = running != nullptr && running->AnsweredBy != running->At;
+  const auto *running = std::get_if<Running>(&entry->second.State);
+  bool otherAnswered =
+      running != nullptr && running->AnsweredBy != running->Target;
   if (otherAnswered)
-    sendCancel(entry->first, running->At, actions);
+    sendCancel(entry->first, running->Target, actions);
   release(entry, otherAnswered ? RequestEnd::Cancelled : RequestEnd::Answered,
           now);
   ++Shared.Stats.RequestsAnswered;
-  setLife(entry, Answered{});
+  setState(entry, Answered{});
   --Unfinished;
   Record &record = entry->second;
   // Duplicates of the request get the same answer again, while memory allows.
@@ -127,19 +129,20 @@
 }
 
 void RequestPath::release(Entry entry, RequestEnd how, Time now) {
-  const auto *running = std::get_if<Running>(&entry->second.Life);
+  const auto *running = std::get_if<Running>(&entry->second.State);
   if (running != nullptr)
-    Shared.Book.requestEnded(running->At, how, running->SentAt, now);
+    Shared.TargetStates.requestEnded(running->Target, how, running->SentAt,
+                                     now);
 }
 
-void RequestPath::refusedByTarget(Entry entry, const PacketInFlight &packet,
-                                  Time now, Actions &actions) {
+void RequestPath::handleTargetRefusal(Entry entry, const PacketInFlight &packet,
+                                      Time now, Actions &actions) {
   const Packet &content = packet.Content;
   if (content.Why == Reason::TargetDraining)
-    Shared.Book.markDraining(packet.From, true, now);
-  const auto *running = std::get_if<Running>(&entry->second.Life);
-  if (running == nullptr || running->At != packet.From)
-    return Shared.refuse(Reason::StrayAnswer);
+    Shared.TargetStates.markDraining(packet.From, true, now);
+  const auto *running = std::get_if<Running>(&entry->second.State);
+  if (running == nullptr || running->Target != packet.From)
+    return Shared.countRefusal(Reason::StrayAnswer);
   ServiceId service = entry->second.Service;
   bool notRun = content.Kind == PacketKind::Refused &&
                 content.Outcome == RefusedOutcome::NotRun;
@@ -174,37 +177,37 @@
   if (why == Reason::TargetSilent || why == Reason::TargetReset)
     record.MayHaveRun = true;
   Duration backOff =
-      BackOffLeast + Duration(Shared.Random() % BackOffSpread.count());
+      BackOffMin + Duration(Shared.Random() % BackOffJitter.count());
   bool inTime = now + backOff < record.Deadline;
   if (record.Tried.size() >= MaxTries || !inTime || RetryTokens < 1) {
     Reason final = RetryTokens < 1 ? Reason::RetryBudget : why;
-    return finish(entry, {.Why = final, .RetryAfter = BackOffSpread * 5}, now,
+    return finish(entry, {.Why = final, .RetryAfter = BackOffJitter * 5}, now,
                   actions);
   }
   RetryTokens -= 1;
-  Shared.retried(why);
-  setLife(entry, BackingOff{});
+  Shared.countRetry(why);
+  setState(entry, BackingOff{});
   setTimer(entry, now + backOff);
 }
 
 void RequestPath::finish(Entry entry, RefusedState how, Time now,
                          Actions &actions) {
-  if (!entry->second.Sole || entry->second.MayHaveRun)
+  if (!entry->second.Exclusive || entry->second.MayHaveRun)
     how.Outcome = RefusedOutcome::Unknown;
-  setLife(entry, how);
+  setState(entry, how);
   --Unfinished;
   setTimer(entry, std::max(entry->second.Deadline, now) + KeepAfterDeadline);
-  tellRefused(entry->first.Flow, entry->first.Request, how, actions);
+  sendRefusal(entry->first.Flow, entry->first.Request, how, actions);
 }
 
-void RequestPath::refuseStateless(const Packet &request, RefusedState how,
-                                  Actions &actions) {
-  tellRefused(request.Flow, request.Request, how, actions);
+void RequestPath::refuseWithoutRecord(const Packet &request, RefusedState how,
+                                      Actions &actions) {
+  sendRefusal(request.Flow, request.Request, how, actions);
 }
 
-void RequestPath::tellRefused(const FlowKey &flow, RequestId request,
+void RequestPath::sendRefusal(const FlowKey &flow, RequestId request,
                               const RefusedState &how, Actions &actions) {
-  Shared.refuse(how.Why);
+  Shared.countRefusal(how.Why);
   if (how.Outcome == RefusedOutcome::NotRun)
     ++Shared.Stats.RequestsNotRun;
   else
@@ -219,11 +222,11 @@
   Shared.sendToCaller(out, actions);
 }
 
-void RequestPath::repeatOutcome(const Record &record, Actions &actions) {
+void RequestPath::resendOutcome(const Record &record, Actions &actions) {
   const Packet &request = record.Request.Content;
-  if (const auto *refused = std::get_if<RefusedState>(&record.Life))
-    return tellRefused(request.Flow, request.Request, *refused, actions);
-  if (!std::holds_alternative<Answered>(record.Life))
+  if (const auto *refused = std::get_if<RefusedState>(&record.State))
+    return sendRefusal(request.Flow, request.Request, *refused, actions);
+  if (!std::holds_alternative<Answered>(record.State))
     return; // Its outcome is still to come.
   for (const auto &[number, part] : record.Parts)
     Shared.sendToCaller(part, actions);
--- a/lib/core/RequestPath.h
+++ b/lib/core/RequestPath.h
@@ -17,8 +17,8 @@
 // An outcome is kept this long after its request's deadline, for duplicates.
 inline constexpr Duration KeepAfterDeadline = std::chrono::seconds(1);
 // Before a retry, a request waits this long and up to the spread longer.
-inline constexpr Duration BackOffLeast = std::chrono::milliseconds(5);
-inline constexpr Duration BackOffSpread = std::chrono::milliseconds(20);
+inline constexpr Duration BackOffMin = std::chrono::milliseconds(5);
+inline constexpr Duration BackOffJitter = std::chrono::milliseconds(20);
 
 /// Names a request: ids are unique on their flow only.
 struct RequestKey {
@@ -29,7 +29,7 @@
 };
 
 /// The previous owner was asked whether it has seen the request.
-struct AskingPrevious {};
+struct QueryingPreviousOwner {};
 /// Waits for a slot.
 struct Queued {};
 /// Waits before it is tried again. Evidence that it may be: the target that
@@ -38,7 +38,7 @@
 /// A target has it. `AnsweredBy` is set with the first part of the answer, so
 /// that parts of two answers are never mixed.
 struct Running {
-  TargetId At;
+  TargetId Target;
   Time SentAt;
   std::optional<TargetId> AnsweredBy;
 };
@@ -57,13 +57,13 @@
 
 /// The life of a request. It goes from top to bottom, with one way back: from
 /// Running through BackingOff to Queued.
-using RequestLife = std::variant<AskingPrevious, Queued, BackingOff, Running,
-                                 Adopted, Answered, RefusedState>;
+using RequestState = std::variant<QueryingPreviousOwner, Queued, BackingOff,
+                                  Running, Adopted, Answered, RefusedState>;
 
 /// True where the caller has been told its outcome.
-inline bool isFinished(const RequestLife &life) {
-  return std::holds_alternative<Answered>(life) ||
-         std::holds_alternative<RefusedState>(life);
+inline bool isFinished(const RequestState &state) {
+  return std::holds_alternative<Answered>(state) ||
+         std::holds_alternative<RefusedState>(state);
 }
 
 /// Decides on requests. `RequestPath.cpp` has admission, the queues and timers;
@@ -74,8 +74,8 @@
   RequestPath(CoreState &state, FlowPath &flows);
 
   /// A request of a caller.
-  void request(const PacketInFlight &packet, uint8_t hops, Time now,
-               Actions &actions);
+  void handleRequest(const PacketInFlight &packet, uint8_t hops, Time now,
+                     Actions &actions);
   /// The caller no longer waits.
   void cancel(const Packet &packet, Time now, Actions &actions);
   /// The caller has closed a flow: nobody waits for its requests.
@@ -84,13 +84,13 @@
   void fromTarget(const PacketInFlight &packet, uint8_t hops, Time now,
                   Actions &actions);
   /// True where the request that a packet is about was accepted here.
-  bool holds(const Packet &packet) const {
+  bool hasRecord(const Packet &packet) const {
     return Records.contains({.Flow = packet.Flow, .Request = packet.Request});
   }
   /// A later owner asks whether a request was seen here.
-  void query(const FlowQuery &query, Time now, Actions &actions);
+  void answerQuery(const FlowQuery &query, Time now, Actions &actions);
   /// A former owner has answered.
-  void reply(const FlowReply &reply, Time now, Actions &actions);
+  void handleReply(const FlowReply &reply, Time now, Actions &actions);
   /// Time passes.
   void tick(Time now, Actions &actions);
 
@@ -103,9 +103,9 @@
   struct Record {
     PacketInFlight Request;
     Time Deadline;
-    RequestLife Life;
+    RequestState State;
     /// No other instance can run it: "not run" may be said.
-    bool Sole = false;
+    bool Exclusive = false;
     /// A target that had it fell silent: "not run" can't be said any more.
     bool MayHaveRun = false;
     ServiceId Service;
@@ -120,44 +120,44 @@
   using Entry = RecordMap::iterator;
 
   /// What admission found out about who may act.
-  struct Standing {
-    bool Sole = false;
+  struct Admission {
+    bool Exclusive = false;
     Reason Why = Reason::None;
     /// Set where a former owner can tell whether the request was seen.
-    InstanceId Ask;
+    InstanceId QueryTo;
     Duration RetryAfter{};
   };
 
-  Standing standing(const FlowKey &flow, Time deadline, Time now) const;
-  bool passToFormerOwner(const PacketInFlight &packet, uint8_t hops, Time now,
-                         Actions &actions);
+  Admission checkOwnership(const FlowKey &flow, Time deadline, Time now) const;
+  bool forwardToFormerOwner(const PacketInFlight &packet, uint8_t hops,
+                            Time now, Actions &actions);
   Entry add(const PacketInFlight &packet, Time deadline);
   void admit(Entry entry, Time now, Actions &actions);
   ServiceId serviceFor(const FlowKey &flow, Reason &why);
-  bool waitTooLong(const Service &service, Time deadline, Time now,
-                   Duration &wait) const;
+  bool isWaitTooLong(const Service &service, Time deadline, Time now,
+                     Duration &wait) const;
   void enqueue(Entry entry, bool first, Time now);
   void dispatch(ServiceId service, Time now, Actions &actions);
   void send(Entry entry, TargetId target, Time now, Actions &actions);
-  void answerPart(Entry entry, const PacketInFlight &packet, Time now,
-                  Actions &actions);
-  void adopt(const PacketInFlight &packet, Time now, Actions &actions);
-  void refusedByTarget(Entry entry, const PacketInFlight &packet, Time now,
-                       Actions &actions);
+  void handleAnswerPart(Entry entry, const PacketInFlight &packet, Time now,
+                        Actions &actions);
+  void adoptAnswer(const PacketInFlight &packet, Time now, Actions &actions);
+  void handleTargetRefusal(Entry entry, const PacketInFlight &packet, Time now,
+                           Actions &actions);
   void retryOrRefuse(Entry entry, Reason why, Time now, Actions &actions);
   void finish(Entry entry, RefusedState how, Time now, Actions &actions);
   void finishAnswered(Entry entry, Time now, Actions &actions);
   void sendCancel(const RequestKey &key, TargetId target, Actions &actions);
   void release(Entry entry, RequestEnd how, Time now);
-  void repeatOutcome(const Record &record, Actions &actions);
-  void refuseStateless(const Packet &request, RefusedState how,
-                       Actions &actions);
-  void tellRefused(const FlowKey &flow, RequestId request,
+  void resendOutcome(const Record &record, Actions &actions);
+  void refuseWithoutRecord(const Packet &request, RefusedState how,
+                           Actions &actions);
+  void sendRefusal(const FlowKey &flow, RequestId request,
                    const RefusedState &how, Actions &actions);
   void abandon(Entry entry, Time now, Actions &actions);
-  void timer(Entry entry, Time now, Actions &actions);
+  void handleTimer(Entry entry, Time now, Actions &actions);
   void setTimer(Entry entry, Time at);
-  void setLife(Entry entry, RequestLife life);
+  void setState(Entry entry, RequestState state);
   void erase(Entry entry);
   const Service *serviceOf(ServiceId id) const;
 
--- a/lib/core/Targets.cpp
+++ b/lib/core/Targets.cpp
@@ -15,13 +15,13 @@
 // The weight of one sample in the mean service time.
 constexpr double SampleWeight = 0.1;
 // A new target starts with this part of its weight.
-constexpr double LeastRamp = 0.1;
+constexpr double MinSlowStartFactor = 0.1;
 // Growth with each answer and shrinkage with each shed. Where they balance, the
 // share of sheds is growth / ((1 - shrink) * window): below the retry budget.
 constexpr double BorrowGrowth = 0.02;
 constexpr double BorrowShrink = 0.5;
-constexpr double LeastBorrowWindow = 0.05;
-constexpr double MostBorrowWindow = 1000;
+constexpr double MinBorrowWindow = 0.05;
+constexpr double MaxBorrowWindow = 1000;
 
 bool contains(std::span<const TargetId> ids, TargetId id) {
   return std::find(ids.begin(), ids.end(), id) != ids.end();
@@ -62,29 +62,29 @@
   for (const Service &service : rules.set().Services) {
     // Every service starts at another instance, so that no instance gets the
     // odd slot of all services.
-    size_t seat = mixHash(service.Id.Value, 1) % live.size();
+    size_t turn = mixHash(service.Id.Value, 1) % live.size();
     for (uint32_t slot = 0; slot < service.Slots; ++slot) {
       for (const Target &target : service.Targets) {
-        if (live[seat] == Self)
+        if (live[turn] == Self)
           ++States[target.Id].Share;
-        seat = (seat + 1) % live.size();
+        turn = (turn + 1) % live.size();
       }
     }
   }
 }
 
-bool Targets::usable(const TargetState &state, Time now) const {
+bool Targets::isAvailable(const TargetState &state, Time now) const {
   return !state.OperatorDrain && state.DrainingUntil <= now &&
          state.EjectedUntil <= now;
 }
 
-double Targets::ramp(const TargetState &state, Time now) const {
+double Targets::slowStartFactor(const TargetState &state, Time now) const {
   Duration age = now - state.FirstSeen;
   if (age >= Options.SlowStart)
     return 1;
   double part = static_cast<double>(age.count()) /
                 static_cast<double>(Options.SlowStart.count());
-  return std::max(LeastRamp, part);
+  return std::max(MinSlowStartFactor, part);
 }
 
 std::optional<TargetId> Targets::chooseForFlow(const Service &service,
@@ -98,16 +98,17 @@
   };
   // This instance may hold twice its even part of a target's connections: the
   // flows of one target spread unevenly over the homes.
-  uint32_t most = std::max<uint32_t>(
+  uint32_t maxFlows = std::max<uint32_t>(
       1, service.Connections * 2 /
              static_cast<uint32_t>(std::max<size_t>(instances, 2)));
   Choice first;
   Choice second;
   for (const Target &target : service.Targets) {
     const TargetState *state = find(target.Id);
-    if (state == nullptr || !usable(*state, now) || state->Flows >= most)
+    if (state == nullptr || !isAvailable(*state, now) ||
+        state->Flows >= maxFlows)
       continue;
-    double weight = target.Weight * ramp(*state, now);
+    double weight = target.Weight * slowStartFactor(*state, now);
     Choice choice{.Id = target.Id,
                   .Score = rendezvousScore(flowHash, target.Id, weight),
                   .Load = state->Flows / weight};
@@ -142,11 +143,11 @@
     if (state == nullptr)
       continue;
     running += state->InFlight;
-    bool open = usable(*state, now) && state->CoolDownUntil <= now &&
+    bool open = isAvailable(*state, now) && state->CoolDownUntil <= now &&
                 state->InFlight < service.Slots && !contains(tried, target.Id);
     if (!open)
       continue;
-    double load = (state->InFlight + 1.0) / ramp(*state, now);
+    double load = (state->InFlight + 1.0) / slowStartFactor(*state, now);
     Choice &choice = state->InFlight < state->Share ? own : borrowed;
     if (!choice.Id || load < choice.Load) {
       choice = {.Id = target.Id, .Load = load, .Ties = 1};
@@ -179,23 +180,23 @@
 
 void Targets::requestSent(TargetId target) { ++States[target].InFlight; }
 
-bool Targets::mayEject(const TargetState &state, Time now) const {
+bool Targets::canEject(const TargetState &state, Time now) const {
   size_t all = 0;
   size_t out = 1;
   for (const auto &[id, it] : States) {
     if (it.Service != state.Service)
       continue;
     ++all;
-    if (!usable(it, now))
+    if (!isAvailable(it, now))
       ++out;
   }
   return static_cast<double>(out) <=
          Options.MaxEjectedShare * static_cast<double>(all);
 }
 
-void Targets::failed(TargetState &state, Time now) {
+void Targets::recordFailure(TargetState &state, Time now) {
   ++state.ConsecutiveFailures;
-  if (state.ConsecutiveFailures < Options.EjectAfter || !mayEject(state, now))
+  if (state.ConsecutiveFailures < Options.EjectAfter || !canEject(state, now))
     return;
   Duration length =
       Options.BaseEjectionTime * (1 << std::min(state.Ejections, 6U));
@@ -223,18 +224,18 @@
     // Growth by every answer, not only by those on borrowed slots: a window
     // below one lets nothing be borrowed and would stay shut for good.
     service.BorrowWindow =
-        std::min(service.BorrowWindow + BorrowGrowth, MostBorrowWindow);
+        std::min(service.BorrowWindow + BorrowGrowth, MaxBorrowWindow);
     break;
   }
   case RequestEnd::Shed:
     state.CoolDownUntil =
         now + Options.CoolDown + Duration(Random() % Options.CoolDown.count());
     service.BorrowWindow =
-        std::max(service.BorrowWindow * BorrowShrink, LeastBorrowWindow);
+        std::max(service.BorrowWindow * BorrowShrink, MinBorrowWindow);
     break;
   case RequestEnd::Silent:
   case RequestEnd::Reset:
-    failed(state, now);
+    recordFailure(state, now);
     break;
   case RequestEnd::Cancelled:
     break;
