--- a/include/chicorybank/core/Core.h
+++ b/include/chicorybank/core/Core.h
@@ -1,8 +1,8 @@
-// The core: one instance's decisions as a pure state machine.
+// The core: the decisions of one instance as a pure state machine.
 //
-// Events go in with the time, actions come out. There is no I/O, clock, thread
-// or global state inside, and the only randomness comes from the seed, so the
-// same events give the same actions.
+// It takes events with the current time and returns actions. It does no I/O and
+// has no clock, threads or global state. All randomness comes from the seed, so
+// the same events always give the same actions.
 //
 //   Core core({.Self = info, .Incarnation = 1}, Time{});
 //   Actions actions;
@@ -24,57 +24,60 @@
 
 namespace chicory {
 
-/// Bounds and times of flows.
+/// Limits and timeouts for flows.
 struct FlowOptions {
   size_t MaxFlows = 200'000;
-  /// How many rule sets are remembered, the newest included.
+  /// How many rule sets are kept, including the newest.
   size_t HistoryDepth = 16;
-  /// A flow without packets is forgotten after this time.
+  /// A flow without packets is removed after this time.
   Duration IdleTimeout = std::chrono::hours(6);
-  /// How long peers may take to say what they know of a flow.
+  /// How long peers may take to answer a query for a flow's pin.
   Duration QueryTimeout = std::chrono::milliseconds(60);
-  /// How long a target may take to reject a flow that it does not have.
+  /// How long a target may take to reject an unknown flow during a recovery.
   Duration TryTimeout = std::chrono::milliseconds(200);
-  /// Flows being recovered at the same time.
+  /// Flows that may be in recovery at the same time.
   size_t MaxRecoveries = 4096;
-  /// Packets kept for one flow while it is recovered.
+  /// Packets buffered for one flow during its recovery.
   size_t MaxBufferedPackets = 4;
-  /// Targets that are tried for one flow.
+  /// Targets that one recovery tries.
   size_t MaxRecoveryTries = 16;
-  /// A flow counts as silent when its caller talks for so long without answer.
+  /// A flow is silent when its caller has sent for this long, and at least this
+  /// many packets, without an answer.
   Duration SilentAfter = std::chrono::seconds(10);
   uint8_t SilentAfterPackets = 3;
 };
 
-/// Bounds and times of requests.
+/// Limits and timeouts for requests.
 struct RequestOptions {
   size_t MaxRequests = 65'536;
   size_t MaxCachedBytes = 8 << 20;
-  /// A request whose deadline is further away is not accepted. Longer lives
-  /// make a takeover wait longer; see `core/OwnershipTracker.h`.
+  /// A request whose deadline is later than this from now is refused. A larger
+  /// value makes a takeover wait longer; see `core/OwnershipTracker.h`.
   Duration MaxRequestLife = std::chrono::seconds(5);
   /// How far the clocks of any two instances may differ.
   Duration MaxClockSkew = std::chrono::milliseconds(100);
   size_t MaxQueue = 256;
-  /// Retries as a share of fresh requests, and how many may be saved up.
+  /// Retry budget: retries per accepted request, and how many unused retries
+  /// may accumulate.
   double RetryShare = 0.1;
   double RetryBurst = 10;
-  /// How long a previous owner may take to say whether it saw a request.
+  /// How long a previous owner may take to answer whether it has seen a
+  /// request.
   Duration QueryTimeout = std::chrono::milliseconds(100);
 };
 
-/// How flows keep their targets. All but the first are baselines that the
-/// project measures itself against; never use them for real traffic.
+/// How flows keep their targets. All modes but the first are baselines for
+/// comparison; never use them for real traffic.
 enum class Placement : uint8_t {
-  Pinned,  ///< Pins at homes, found again through peers and targets.
-  NoPins,  ///< Each packet goes where the current targets' hash says.
-  NoPeers, ///< Each instance pins for itself and asks nobody.
+  Pinned,  ///< Pins at the home; recovered through peers and targets.
+  NoPins,  ///< Hashes each packet over the current targets.
+  NoPeers, ///< Each instance pins for itself and never asks peers.
 };
 
 /// All options of a core.
 struct CoreOptions {
   InstanceInfo Self;
-  /// Differs at each start of the process.
+  /// Different for each start of the process.
   uint64_t Incarnation = 1;
   uint64_t Seed = 1;
   /// Milliseconds since the Unix epoch at `Time{}`.
@@ -86,14 +89,14 @@
   RequestOptions Requests;
   Placement FlowPlacement = Placement::Pinned;
   Duration ProbeInterval = std::chrono::milliseconds(500);
-  /// How long an instance that joins waits for peers and the platform before
-  /// it creates the first members document.
+  /// A joining instance waits this long for peers and the platform before it
+  /// goes live and may create the first members document.
   Duration JoinDelay = std::chrono::seconds(1);
-  /// A stop that is not complete by then completes all the same.
+  /// A planned stop ends after this time even with unfinished requests.
   Duration StopTimeout = std::chrono::seconds(30);
 };
 
-/// Counters and gauges of a core. Counters never fall.
+/// Counters and gauges of a core. Counters never decrease.
 struct CoreStats {
   std::array<uint64_t, ReasonCount> Refusals{};
   std::array<uint64_t, ReasonCount> Retries{};
@@ -118,14 +121,14 @@
   bool HoldsLease = false;
 };
 
-/// What an instance would do with a flow, for operators.
+/// Shows operators what an instance would do with a flow.
 struct Explanation {
   FlowKey Flow;
   InstanceId Replier;
   RuleVersion Rules;
   InstanceId Home;
   InstanceId Owner;
-  /// The first rule that matches; empty where none does.
+  /// The first rule that matches; empty if none does.
   std::string RuleName;
   std::string ServiceName;
   /// Set only on the instance that holds the flow.
@@ -138,7 +141,7 @@
 
 class CoreImpl;
 
-/// One instance's decisions. Not safe for use by two threads at a time.
+/// The decisions of one instance. Not thread-safe.
 class Core {
 public:
   Core(CoreOptions options, Time startedAt);
@@ -146,11 +149,11 @@
   Core(Core &&) noexcept;
   Core &operator=(Core &&) noexcept;
 
-  /// Handles one event and appends what is to be done.
+  /// Handles one event and appends the resulting actions.
   void handle(const Event &event, Time now, Actions &actions);
-  /// Counters and gauges as of the last event.
+  /// Returns the counters and gauges as of the last event.
   CoreStats stats() const;
-  /// What would happen to a flow now, and why.
+  /// Returns what would happen to a flow now, and why.
   Explanation explain(const FlowKey &flow, Time now) const;
 
   const Membership &membership() const;
--- a/include/chicorybank/core/Events.h
+++ b/include/chicorybank/core/Events.h
@@ -1,8 +1,9 @@
-// What goes into a core and what comes out.
+// The events that a core handles and the actions that it returns.
 //
-// A shell (or a test, or a bench) turns whatever happens into events, hands
-// each to `Core::handle` with the time, and carries out the actions. A core
-// does no I/O of its own; docs/CORE-API.md has a whole program.
+// The surrounding program (a daemon, test or benchmark) turns everything that
+// happens into events, passes each to `Core::handle` with the current time, and
+// performs the actions. A core does no I/O itself; docs/CORE-API.md has a
+// complete program.
 
 #ifndef CHICORYBANK_CORE_EVENTS_H
 #define CHICORYBANK_CORE_EVENTS_H
@@ -20,15 +21,15 @@
 
 namespace chicory {
 
-/// A packet with the datagram that it came in.
+/// A packet together with the datagram that it arrived in.
 ///
-/// For kinds that are passed on untouched only the head of `Content` is
-/// filled; `Datagram` is what goes out. A shell with another framing puts its
-/// own bytes there.
+/// For kinds that are forwarded unchanged only the header fields of `Content`
+/// are set, and `Datagram` is what is sent. A program that uses another framing
+/// puts its own bytes there.
 struct PacketInFlight {
   Packet Content;
   QByteArray Datagram;
-  /// Who sent it to the first instance: the fabric or a backend server.
+  /// The sender towards the first instance: the fabric or a backend server.
   Address From;
 };
 
@@ -37,11 +38,11 @@
   PacketInFlight Packet;
 };
 
-/// Another instance passed a packet on.
+/// Another instance forwarded a packet.
 struct ForwardedPacketArrived {
   InstanceId Sender;
   PacketInFlight Packet;
-  /// How many instances have had it before.
+  /// How many instances have handled it before.
   uint8_t Hops = 1;
   /// The rule version of the sender.
   RuleVersion Rules;
@@ -50,20 +51,20 @@
 /// What one instance asks another about a flow or a request.
 struct FlowQuery {
   FlowKey Flow;
-  /// Zero asks for the flow's pin; else the request is asked for.
+  /// Zero queries the flow's pin; any other id queries that request.
   RequestId Request;
   int64_t DeadlineMs = 0;
-  /// Who wants the reply.
+  /// The instance that the reply goes to.
   InstanceId Asker;
-  /// How many instances have been asked before.
+  /// How many instances have received the query before.
   uint8_t Hops = 0;
 };
 
-/// What an instance knows of a request that another one asks for.
+/// What an instance knows about the flow or request of a query.
 enum class QueryResult : uint8_t {
   NotSeen,   ///< It was never accepted here, and never will be.
-  Seen,      ///< It is here; pass the packet on.
-  MayBeSeen, ///< It can't be told.
+  Seen,      ///< It is recorded here; forward the packet.
+  MayBeSeen, ///< Unknown: it may have been accepted here.
 };
 
 /// The reply to a `FlowQuery`.
@@ -71,28 +72,28 @@
   FlowKey Flow;
   RequestId Request;
   QueryResult Result = QueryResult::NotSeen;
-  /// For a pin: its target and service, if there is one.
+  /// The target and service of the flow's pin, if there is one.
   TargetId Target;
   ServiceId Service;
   InstanceId Replier;
 };
 
-/// Another instance asks or replies.
+/// Another instance sent a query or a reply.
 struct QueryArrived {
   std::variant<FlowQuery, FlowReply> Message;
 };
 
-/// A heartbeat came from a peer.
+/// A peer sent a heartbeat.
 struct HeartbeatArrived {
   Heartbeat Message;
 };
 
-/// The connection to a peer was refused: nothing listens there.
+/// A peer refused the connection: no process listens there.
 struct PeerRefused {
   InstanceId Peer;
 };
 
-/// A rule set was read from the platform or from a peer, and compiled.
+/// A rule set was read from the platform or from a peer and was compiled.
 struct RulesLearned {
   CompiledRulesPtr Rules;
 };
@@ -102,15 +103,15 @@
   MembersDocument Document;
 };
 
-/// Instances were named by settings or by the platform's list.
+/// Instances were found in the settings or in the platform's list.
 struct InstancesDiscovered {
   std::vector<InstanceInfo> Instances;
 };
 
-/// The operators ask this instance to end.
+/// The operators request a planned stop of this instance.
 struct StopRequested {};
 
-/// Time passes; send one every few milliseconds.
+/// Time has passed; send one every few milliseconds.
 struct Tick {};
 
 using Event =
@@ -118,16 +119,16 @@
                  HeartbeatArrived, PeerRefused, RulesLearned, MembersLearned,
                  InstancesDiscovered, StopRequested, Tick>;
 
-/// Send a packet to a backend server, or to the fabric for a caller.
+/// Send a packet to a backend server, or through the fabric to a caller.
 struct SendPacket {
-  /// Nothing stands for the fabric, which knows the caller by the flow.
+  /// Empty for the fabric, which finds the caller by the flow.
   std::optional<TargetId> To;
   Packet Content;
-  /// Not empty: send these bytes in place of encoding `Content`.
+  /// If not empty, these bytes are sent instead of encoding `Content`.
   QByteArray Datagram;
 };
 
-/// Pass a packet on to another instance.
+/// Forward a packet to another instance.
 struct ForwardPacket {
   InstanceId To;
   PacketInFlight Packet;
@@ -135,7 +136,7 @@
   RuleVersion Rules;
 };
 
-/// Ask another instance, or reply to it.
+/// Send a query or a reply to another instance.
 struct SendQuery {
   InstanceId To;
   std::variant<FlowQuery, FlowReply> Message;
@@ -147,31 +148,31 @@
   Heartbeat Message;
 };
 
-/// Fetch a peer's rule set: it is newer than this instance's.
+/// Fetch a peer's rule set, which is newer than this instance's.
 struct PullRules {
   InstanceInfo From;
   RuleVersion Version;
 };
 
-/// Replace the members document, if the platform still has the version before.
+/// Write the members document, if the platform still has the version before it.
 struct WriteMembers {
   MembersDocument Document;
 };
 
-/// Something that operators may want to read about later.
+/// Log an event that operators may look up later.
 struct LogEvent {
   Reason Why = Reason::None;
   std::string Event;
   std::string Detail;
 };
 
-/// A planned stop is complete: the process may end.
+/// A planned stop is complete; the process may exit.
 struct SafeToStop {};
 
 using Action = std::variant<SendPacket, ForwardPacket, SendQuery, SendHeartbeat,
                             PullRules, WriteMembers, LogEvent, SafeToStop>;
 
-/// Actions in the order in which they are to be carried out.
+/// Actions in the order in which they must be performed.
 using Actions = std::vector<Action>;
 
 } // namespace chicory
--- a/include/chicorybank/core/FlowTable.h
+++ b/include/chicorybank/core/FlowTable.h
@@ -1,8 +1,8 @@
-// Which target each flow is pinned to.
+// The target that each flow is pinned to.
 //
-// One open-addressing table with linear probing, allocated once: its memory is
-// a hard bound and no packet ever waits for a rehash. A full table refuses new
-// flows (Reason::FlowTableFull) and never drops an established one.
+// An open-addressing hash table with linear probing, allocated once: its memory
+// has a hard bound and no packet ever waits for a rehash. A full table refuses
+// new flows (Reason::FlowTableFull) and never evicts an established one.
 
 #ifndef CHICORYBANK_CORE_FLOWTABLE_H
 #define CHICORYBANK_CORE_FLOWTABLE_H
@@ -13,7 +13,7 @@
 
 namespace chicory {
 
-/// What is remembered of a flow. 40 bytes.
+/// The state of one flow. 40 bytes.
 struct FlowPin {
   uint64_t SourceBits = 0;
   uint64_t DestinationBits = 0;
@@ -24,8 +24,7 @@
   uint32_t LastFromTarget = 0;
   uint8_t Protocol = 0;
   bool Used = false;
-  /// The target was guessed after the flow's home was lost and has not yet
-  /// answered.
+  /// The target was guessed during a recovery and has not answered yet.
   bool Tentative = false;
   /// Packets from the caller since the target last sent one.
   uint8_t Unanswered = 0;
@@ -37,29 +36,30 @@
   }
 };
 
-/// Pins by flow key.
+/// Maps flow keys to pins.
 ///
 ///   FlowTable flows(100'000);
 ///   if (FlowPin *pin = flows.insert(key))
 ///     pin->PinnedTarget = target;
 class FlowTable {
 public:
-  /// Room for `capacity` flows; the table takes a quarter more slots.
+  /// Creates a table for `capacity` flows. It has a quarter more slots than
+  /// that, to keep probe sequences short.
   explicit FlowTable(size_t capacity);
 
-  /// The pin of a flow, or null. Valid until the next insert or erase.
+  /// Returns the pin of a flow, or null. Valid until the next insert or erase.
   FlowPin *find(const FlowKey &key);
-  /// A fresh pin, or null where the table is full. The key must be absent.
+  /// Returns a new pin, or null if the table is full. The key must be absent.
   FlowPin *insert(const FlowKey &key);
-  /// Forgets a flow, if it is there.
+  /// Removes a flow if it is present.
   void erase(const FlowKey &key);
-  /// Calls `visit` on the next `count` slots, round and round. `visit` returns
-  /// true for a pin that is to be erased.
+  /// Calls `visit` for the pins in the next `count` slots, continuing where the
+  /// last sweep ended. A pin is erased if `visit` returns true for it.
   template <typename Visit> void sweep(size_t count, Visit visit);
 
   size_t size() const { return Count; }
   size_t capacity() const { return Capacity; }
-  /// Memory of the table, in bytes.
+  /// Returns the memory of the table in bytes.
   size_t memoryBytes() const { return Slots.size() * sizeof(FlowPin); }
 
 private:
@@ -77,7 +77,7 @@
   for (size_t n = 0; n < count; ++n) {
     SweepPosition = (SweepPosition + 1) % Slots.size();
     FlowPin &pin = Slots[SweepPosition];
-    // Erasing moves a later pin into this slot, so look at it again.
+    // Erasing may move a later pin into this slot, so check it again.
     while (pin.Used && visit(pin))
       eraseAt(SweepPosition);
   }
--- a/include/chicorybank/core/Instance.h
+++ b/include/chicorybank/core/Instance.h
@@ -1,4 +1,4 @@
-// What instances tell each other about themselves, and the members document.
+// Instance addresses and states, the members document and heartbeats.
 
 #ifndef CHICORYBANK_CORE_INSTANCE_H
 #define CHICORYBANK_CORE_INSTANCE_H
@@ -10,11 +10,11 @@
 
 namespace chicory {
 
-/// Where an instance can be reached. It comes from the instance's settings.
+/// The addresses of an instance, taken from its settings.
 struct InstanceInfo {
   InstanceId Id;
   std::string Zone;
-  /// For packets, its own and passed-on ones (UDP).
+  /// For packets from the fabric, targets and other instances (UDP).
   Address Packets;
   /// For control messages (HTTP/2 over TCP).
   Address Peers;
@@ -24,14 +24,14 @@
   bool operator==(const InstanceInfo &) const = default;
 };
 
-/// The life of an instance.
+/// Lifecycle of an instance.
 enum class InstanceState : uint8_t {
-  Joining, ///< Holds no current rule set yet and is nobody's home.
-  Live,    ///< Serves.
-  Leaving, ///< Ends what it began and takes nothing new.
+  Joining, ///< Has no current rule set yet and is not the home of any flow.
+  Live,    ///< Serves traffic.
+  Leaving, ///< Finishes its requests and accepts nothing new.
 };
 
-/// Which instances may own flows, agreed through the platform.
+/// The instances that may own flows, as agreed through the platform.
 ///
 /// `core/OwnershipTracker.h` explains why `Previous` is part of it.
 struct MembersDocument {
@@ -45,28 +45,29 @@
 
 /// The periodic message from one instance to another.
 struct Heartbeat {
-  /// Only the id is set for a receiver that hears the sender already.
+  /// Only the id is set if the receiver already gets the sender's heartbeats.
   InstanceInfo Sender;
-  /// Differs each time that the sender's process starts.
+  /// Different for each start of the sender's process.
   uint64_t Incarnation = 0;
   uint64_t Sequence = 0;
-  /// The last sequence that the sender has seen from the receiver; this is
-  /// what grants a lease (see `core/OwnershipTracker.h`).
+  /// The last sequence number that the sender got from the receiver. The echo
+  /// grants the receiver a lease (see `core/OwnershipTracker.h`).
   uint64_t Echo = 0;
-  /// Which life of the receiver `Echo` belongs to: a lease must not pass from
-  /// a process to its successor with the same id.
+  /// The receiver's incarnation that `Echo` belongs to: a lease must not pass
+  /// from a process to its successor with the same id.
   uint64_t EchoIncarnation = 0;
   InstanceState State = InstanceState::Joining;
   RuleVersion Rules;
   MembersVersion Members;
-  /// Whom the sender hears; confirms or denies a suspicion.
+  /// Peers that the sender can reach; confirms or refutes a suspicion.
   std::vector<InstanceId> ReachablePeers;
-  /// Instances that the sender hears and the receiver does not: with the
-  /// platform out of reach this is how newcomers become known.
+  /// Instances that the sender can reach and the receiver can't. New instances
+  /// become known through these while the platform is unreachable.
   std::vector<InstanceInfo> Introductions;
-  /// Targets that have told the sender that they are leaving.
+  /// Targets that reported to the sender that they are leaving.
   std::vector<TargetId> Draining;
-  /// The members document, only for a receiver that is behind; else version 0.
+  /// The members document if the receiver has an older one; otherwise version
+  /// 0.
   MembersDocument Document;
 
   bool operator==(const Heartbeat &) const = default;
--- a/include/chicorybank/core/Membership.h
+++ b/include/chicorybank/core/Membership.h
@@ -1,10 +1,11 @@
-// Who is alive, as this instance sees it.
+// Which instances are running, as this instance sees it.
 //
-// The platform's list of instances lags, so it only says whom to talk to. Life
-// is judged by heartbeats, and by refused connections, which tell of a dead
-// process at once. Two instances may differ for a moment: for flows that is
-// harmless, because a pin is found again (see `Recovery.h`). Where it would
-// do harm, for requests that must not run twice, `OwnershipTracker.h` decides.
+// The platform's list of instances lags, so it is used only to find peers.
+// Heartbeats show that a peer is running; a refused connection shows at once
+// that its process has stopped. Two instances may have different views for a
+// moment. For flows that is harmless, because a lost pin is recovered (see
+// `lib/core/FlowPath.h`). For requests that must not run twice it would do
+// harm; there `OwnershipTracker.h` decides.
 
 #ifndef CHICORYBANK_CORE_MEMBERSHIP_H
 #define CHICORYBANK_CORE_MEMBERSHIP_H
@@ -18,12 +19,13 @@
 
 namespace chicory {
 
-/// The times of membership.
+/// Timing of heartbeats and suspicion.
 struct MembershipOptions {
   Duration HeartbeatInterval = std::chrono::milliseconds(500);
-  /// Silence after which a peer is no one's home.
+  /// A peer without heartbeats for longer than this is suspected and is not the
+  /// home of any flow.
   Duration SuspectAfter = std::chrono::milliseconds(1600);
-  /// Silence after which a peer is forgotten.
+  /// A peer without heartbeats for longer than this is removed.
   Duration ForgetAfter = std::chrono::seconds(60);
 };
 
@@ -36,14 +38,14 @@
   RuleVersion Rules;
   MembersVersion Members;
   std::vector<InstanceId> ReachablePeers;
-  /// Nothing until the first heartbeat.
+  /// Empty until the first heartbeat.
   std::optional<Time> LastHeartbeatAt;
   Time KnownSince;
-  /// A connection to it was refused after its last heartbeat.
+  /// It refused a connection after its last heartbeat.
   bool ConnectionRefused = false;
 };
 
-/// The peers of one instance and the list of homes.
+/// The peers of one instance, and which instances can be the home of flows.
 class Membership {
 public:
   Membership(InstanceInfo self, uint64_t incarnation,
@@ -53,31 +55,36 @@
   InstanceState state() const { return State; }
   void setState(InstanceState state);
 
-  /// A peer was named by settings, by the platform's list or by a peer.
+  /// Adds a peer from the settings, the platform's list or another peer.
   void addPeer(const InstanceInfo &info, Time now);
-  /// A heartbeat came. Returns false for one that is older than the last.
+  /// Records a heartbeat. Returns false if it is ignored: it is older than the
+  /// last one, or has no addresses and its sender is unknown.
   bool recordHeartbeat(const Heartbeat &heartbeat, Time now);
-  /// A connection to a peer was refused: its process is gone.
+  /// Records that a peer refused a connection: its process has stopped.
   void recordRefusal(InstanceId id);
-  /// Looks for silent peers; call it every few milliseconds.
+  /// Checks for peers without heartbeats; call it every few milliseconds.
   void update(Time now);
 
-  /// The next heartbeat's common part. Call once for each round.
+  /// Returns the part of the next heartbeat that is the same for all receivers.
+  /// Call it once for each round of heartbeats.
   Heartbeat nextHeartbeat(Time now);
-  /// When the heartbeat with this sequence was sent, if that is remembered.
+  /// Returns when the heartbeat with this sequence number was sent, if that is
+  /// still recorded.
   std::optional<Time> sentAt(uint64_t sequence) const;
 
-  /// True while a peer is heard, whatever its state.
+  /// Returns whether a peer, in any state, has sent a heartbeat within
+  /// `SuspectAfter` and has refused no connection since.
   bool isReachable(InstanceId id, Time now) const;
-  /// The instances that can be a home, this one included; sorted.
+  /// The instances that can be the home of a flow, including this one; sorted.
   const std::vector<InstanceId> &homes() const { return Homes; }
-  /// Peers that are leaving but still answer questions.
+  /// Reachable peers that are leaving; they still answer queries.
   const std::vector<InstanceId> &leavingPeers() const { return LeavingPeers; }
-  /// Peers that are heard, whatever their state.
+  /// Returns all reachable peers, in any state.
   std::vector<InstanceId> reachablePeers(Time now) const;
-  /// True where nobody else that is heard hears this peer either.
+  /// Returns whether neither this instance nor any reachable peer can reach a
+  /// peer.
   bool isConfirmedUnreachable(InstanceId id, Time now) const;
-  /// Null for an unknown peer.
+  /// Returns a peer, or null if it is unknown.
   const Peer *find(InstanceId id) const;
   const std::map<InstanceId, Peer> &peers() const { return Peers; }
 
--- a/include/chicorybank/core/OwnershipTracker.h
+++ b/include/chicorybank/core/OwnershipTracker.h
@@ -1,23 +1,26 @@
-// Who alone may act for a flow when acting twice would do harm.
+// Decides which single instance may act for a flow when acting twice would do
+// harm.
 //
-// Pins may be held by two instances at once; a request that is not idempotent
-// must be sent by one at the most, through partitions, pauses and
-// replacements. The rules, with their proof in docs/design/at-most-once.md:
+// Two instances may hold a pin for the same flow at the same time. A request
+// that is not idempotent must be sent by one instance at most, also during
+// partitions, pauses and replacements. The rules, proved in
+// docs/design/at-most-once.md:
 //
 // 1. The members document in the platform names the instances that may own
-//    flows; a flow's owner is the first of them by rendezvous.
-// 2. An owner acts only under a lease: a majority of the members have told it,
-//    in answer to a heartbeat sent less than `LeaseTime` ago, that they know
-//    no newer document. A paused or cut-off owner has no lease. When it learns
-//    a newer document, the rest of its lease goes with it.
-// 3. Where a newer document moves a flow, the new owner waits until the old
-//    one has itself announced the newer document, or until a majority of the
-//    previous members have, plus one `LeaseTime`: no lease under the previous
-//    document can be left then.
-// 4. What the old owner sent before that had a deadline of at most
-//    `MaxRequestLife` later; a request with a later deadline is new. For an
-//    earlier deadline `ownedSince` lets the caller of this class tell that the
-//    request may have run.
+//    flows. The owner of a flow is the first of them by rendezvous hashing.
+// 2. An owner acts only under a lease: a majority of the members have confirmed
+//    that they know no newer document, each in answer to a heartbeat that the
+//    owner sent less than `LeaseTime` ago. A paused or partitioned owner has no
+//    lease. When the owner learns a newer document, it keeps only the rest of
+//    the lease that it holds at that moment.
+// 3. When a newer document moves a flow, the new owner waits until the old
+//    owner has announced the newer document, or until a majority of the
+//    previous members have announced it and another `LeaseTime` has passed. No
+//    lease under the previous document can be left then.
+// 4. Requests that the old owner sent before that have a deadline at most
+//    `MaxRequestLife` later, so a request with a later deadline is new. For an
+//    earlier deadline, `OwnedSince` lets the caller of this class find out that
+//    the request may have run.
 
 #ifndef CHICORYBANK_CORE_OWNERSHIPTRACKER_H
 #define CHICORYBANK_CORE_OWNERSHIPTRACKER_H
@@ -30,54 +33,57 @@
 
 namespace chicory {
 
-/// The times of authority.
+/// Timing of leases.
 struct OwnershipOptions {
-  /// How long a member's word counts, from the heartbeat that asked for it.
+  /// How long a member's confirmation is valid, counted from the time at which
+  /// the heartbeat that it answers was sent.
   Duration LeaseTime = std::chrono::milliseconds(2500);
-  /// Added to a wait for other instances' leases, against clocks that run at
-  /// different rates.
+  /// Added when waiting for other instances' leases to end, because clocks run
+  /// at different rates.
   Duration LeaseMargin = std::chrono::milliseconds(200);
 };
 
 /// What an instance may do for one flow.
 struct OwnershipView {
   InstanceId Owner;
-  /// This instance is the owner and has taken over from the one before.
+  /// This instance is the owner, and no lease of the previous owner is left.
   bool HandOverComplete = false;
-  /// The lease of this instance; it may act before this time only.
+  /// End of this instance's lease. It may act only before this time.
   Time LeaseUntil;
-  /// Since when no other instance can have acted for the flow.
+  /// From this time on, no other instance can have acted for the flow.
   Time OwnedSince;
-  /// The owner under the previous document; may be this instance or none.
+  /// The owner under the previous document; this instance or none is possible.
   InstanceId PreviousOwner;
 };
 
-/// Decides ownership. Time and messages come from outside.
+/// Tracks members documents and leases, and derives who owns a flow. The time
+/// and all messages are passed in.
 class OwnershipTracker {
 public:
   OwnershipTracker(InstanceId self, Time startedAt, OwnershipOptions options);
 
-  /// Takes in a members document. Returns false for one that is not newer.
+  /// Applies a members document. Returns false if it is not newer.
   bool learn(const MembersDocument &document, Time now);
-  /// A member said in a heartbeat that `version` is its newest; `echoedAt` is
-  /// when the heartbeat that it answers was sent, if it answers one.
+  /// Records that `version` is a member's newest document, as its heartbeat
+  /// announced. `echoedAt` is when this instance sent the heartbeat that is
+  /// answered by it, if there is one.
   void recordHeartbeat(InstanceId from, MembersVersion version,
                        std::optional<Time> echoedAt, Time now);
-  /// What may be done for a flow now.
+  /// Returns what this instance may do for a flow now.
   OwnershipView ownershipOf(uint64_t flowHash, Time now) const;
-  /// The last time that this instance owned a flow which it owns no more;
-  /// nothing where it remembers none. `HandOverComplete` tells whether the
-  /// ownership had been taken over properly.
+  /// Returns the most recent ownership of a flow that this instance no longer
+  /// owns, or nothing if it has no record of one. `HandOverComplete` is false
+  /// if this instance never finished taking over from the owner before it.
   std::optional<OwnershipView> formerOwnership(uint64_t flowHash,
                                                Time now) const;
 
   const MembersDocument &document() const {
     return Transitions.back().Document;
   }
-  /// True where the previous document is void everywhere. The next document
-  /// must not be written before.
+  /// Returns whether no instance can hold a lease under the previous document
+  /// any more. The next document must not be written earlier.
   bool isPreviousDocumentRetired(Time now) const;
-  /// True where this instance holds the lease of a majority.
+  /// Returns whether a majority currently grants this instance its lease.
   bool holdsLease(Time now) const { return leaseUntil() > now; }
 
 private:
@@ -87,13 +93,14 @@
     MembersVersion Version;
     Time Until;
   };
-  /// One document and when it came into force here.
+  /// A document and when this instance applied it.
   struct Transition {
     MembersDocument Document;
     Time LearnedAt;
-    /// When each previous member was first known to have moved on.
+    /// When each previous member was first known to have this document or a
+    /// newer one.
     std::map<InstanceId, Time> AcknowledgedAt;
-    /// When a majority of the previous members was first known to have.
+    /// When this was first known of a majority of the previous members.
     std::optional<Time> MajorityAcknowledgedAt;
   };
 
@@ -110,7 +117,8 @@
   OwnershipOptions Options;
   std::deque<Transition> Transitions;
   std::map<InstanceId, Grant> Grants;
-  /// The rest of the lease that was held under the previous document.
+  /// End of the lease that was held under the previous document, at most one
+  /// `LeaseTime` after the change.
   Time InheritedLeaseUntil;
 };
 
--- a/include/chicorybank/core/Rendezvous.h
+++ b/include/chicorybank/core/Rendezvous.h
@@ -1,7 +1,7 @@
-// Rendezvous hashing (Thaler, Ravishankar 1998): who comes first for a flow.
+// Rendezvous hashing (Thaler, Ravishankar 1998): orders candidates for a flow.
 //
-// Every instance that holds the same candidates gives the same order without a
-// message, and when a candidate goes only what it held moves.
+// All instances with the same candidates get the same order without exchanging
+// messages. When a candidate is removed, only its own flows move.
 
 #ifndef CHICORYBANK_CORE_RENDEZVOUS_H
 #define CHICORYBANK_CORE_RENDEZVOUS_H
@@ -13,23 +13,24 @@
 
 namespace chicory {
 
-/// The first candidate for a flow's hash; none from an empty list.
+/// Returns the first candidate for a flow's hash, or none from an empty list.
 ///
 ///   InstanceId home = rendezvousFirst(hashFlow(key), liveInstances);
 InstanceId rendezvousFirst(uint64_t flowHash,
                            std::span<const InstanceId> candidates);
 
-/// The candidates for a flow's hash in their order, `count` at the most.
+/// Returns the first `count` candidates for a flow's hash, in order.
 std::vector<InstanceId> rendezvousOrder(uint64_t flowHash,
                                         std::span<const InstanceId> candidates,
                                         size_t count);
 
-/// The targets for a flow's hash in their order, by equal weight.
+/// Returns the first `count` targets for a flow's hash, in order. All targets
+/// have equal weight.
 std::vector<TargetId> rendezvousOrder(uint64_t flowHash,
                                       std::span<const TargetId> candidates,
                                       size_t count);
 
-/// A target's score for a flow; the highest comes first. Weighted as in
+/// Returns a target's score for a flow; the highest comes first. Weighted as in
 /// "Weighted distributed hash tables" (Schindelhauer, Schomaker 2005): a
 /// target's share of flows follows its weight.
 double rendezvousScore(uint64_t flowHash, TargetId target, double weight);
--- a/include/chicorybank/core/Rules.h
+++ b/include/chicorybank/core/Rules.h
@@ -1,8 +1,8 @@
-// The rule sets that a core knows: the newest and a short history.
+// The rule sets of a core: the newest one and a short history.
 //
-// The history answers one question: a packet belongs to a flow of which no
-// state is left; to which services may its flow have been opened? Versions
-// only rise: an older rule set than the newest known is never taken in.
+// When a packet arrives for a flow without state, the history gives the
+// services that the flow may have been opened to. Versions only increase: a
+// rule set that is older than the newest known one is never applied.
 
 #ifndef CHICORYBANK_CORE_RULES_H
 #define CHICORYBANK_CORE_RULES_H
@@ -16,20 +16,20 @@
 
 namespace chicory {
 
-/// A rule set ready for decisions. Built outside the core's thread, shared and
-/// never changed.
+/// A rule set with its lookup structures. Built outside the core's thread;
+/// shared and immutable.
 class CompiledRules {
 public:
   explicit CompiledRules(RuleSet rules);
 
   RuleVersion version() const { return Set.Version; }
   const RuleSet &set() const { return Set; }
-  /// The first rule that matches, or null.
+  /// Returns the first rule that matches, or null.
   const Rule *match(const FlowKey &key) const;
   const RuleMatcher &matcher() const { return Matcher; }
-  /// The service with this id, or null.
+  /// Returns the service with this id, or null.
   const Service *service(ServiceId id) const;
-  /// The service that has this target, or null.
+  /// Returns the service that has this target, or null.
   const Service *serviceOfTarget(TargetId target) const;
 
 private:
@@ -39,22 +39,23 @@
   std::unordered_map<TargetId, const Service *> ByTarget;
 };
 
-/// Shared ownership: the core, the metrics and a pull by a peer may all hold
-/// the same version.
+/// Shared ownership: the core, the metrics and a peer's request for the rule
+/// set may use the same version at once.
 using CompiledRulesPtr = std::shared_ptr<const CompiledRules>;
 
-/// What is kept of a rule set that is no longer the newest: which service each
-/// flow and each target had. Names, zones and weights are gone, and with them
-/// most of its memory.
+/// A rule set that is no longer the newest, reduced to the service of each flow
+/// and of each target. Without names, zones and weights it needs far less
+/// memory.
 class PastRules {
 public:
   explicit PastRules(const CompiledRules &rules);
 
-  /// The service of a flow; zero where it had none.
+  /// Returns the service of a flow; zero if it had none.
   ServiceId serviceOf(const FlowKey &key) const;
-  /// The targets of a service.
+  /// Returns the targets of a service.
   std::vector<TargetId> targetsOf(ServiceId service) const;
-  /// The service of a target; zero where it had none. Walks all targets.
+  /// Returns the service of a target; zero if it had none. Linear in the number
+  /// of targets.
   ServiceId serviceOfTarget(TargetId target) const;
 
 private:
@@ -69,30 +70,31 @@
   std::vector<TargetOfService> Targets;
 };
 
-/// The newest rule set and those before it.
+/// The newest rule set and its predecessors.
 class RuleHistory {
 public:
-  /// `depth` is how many versions are kept, the newest included.
+  /// `depth` is how many versions are kept, including the newest.
   explicit RuleHistory(size_t depth) : Depth(depth) {}
 
-  /// Takes in a rule set. Returns false for one that is not newer.
+  /// Applies a rule set. Returns false if it is not newer.
   bool learn(CompiledRulesPtr rules);
-  /// The newest rule set, or null.
+  /// Returns the newest rule set, or null.
   const CompiledRules *newest() const;
-  /// The version of the newest rule set, or zero.
+  /// Returns the version of the newest rule set, or zero.
   RuleVersion version() const;
-  /// Every service that some kept version gives this flow, the newest first,
-  /// each once.
+  /// Returns every service that a kept version assigns to this flow, without
+  /// duplicates, newest version first.
   std::vector<ServiceId> servicesOf(const FlowKey &key) const;
-  /// Every target that some kept version gives a service, each once.
+  /// Returns every target of a service in any kept version, without duplicates.
   std::vector<TargetId> targetsOf(ServiceId service) const;
-  /// The service of a target in the newest version that has it; zero if none.
+  /// Returns the service of a target in the newest version that has it; zero if
+  /// none does.
   ServiceId serviceOfTarget(TargetId target) const;
 
 private:
   size_t Depth;
   CompiledRulesPtr Newest;
-  /// The one before the newest first.
+  /// Most recent first; the newest rule set itself is not included.
   std::deque<PastRules> Past;
 };
 
--- a/include/chicorybank/core/Targets.h
+++ b/include/chicorybank/core/Targets.h
@@ -1,11 +1,13 @@
-// Targets as this instance sees them: load, health, shares of their slots.
+// Load and health of targets as this instance sees them, and its share of their
+// slots.
 //
-// What the instance itself observes (answers, sheds, resets, silence) goes
-// first; reports of backend servers only ever say that one is leaving.
-// Instances share the slots of a target without talking about requests: slots
-// are dealt out over the live instances, the same way on each. What a share
-// leaves idle others may borrow, a window that grows with success and halves
-// with each shed. docs/design/overload.md weighs this.
+// Health comes from the instance's own observations (answers, load shedding,
+// resets, missing answers). Reports of backend servers only show that a server
+// is leaving. Instances divide the slots of a target without messages about
+// requests: each computes the same assignment of slots to live instances.
+// Instances may borrow slots that others leave idle, within a window that grows
+// with each answer and halves with each shed request.
+// docs/design/overload.md compares alternatives.
 
 #ifndef CHICORYBANK_CORE_TARGETS_H
 #define CHICORYBANK_CORE_TARGETS_H
@@ -20,31 +22,34 @@
 
 namespace chicory {
 
-/// Bounds and times of target choice.
+/// Limits and timing for the choice of targets.
 struct TargetOptions {
-  /// Failures in a row after which a target is ejected.
+  /// Consecutive failures after which a target is ejected.
   uint32_t EjectAfter = 3;
-  /// How long the first ejection lasts; it doubles each time.
+  /// How long the first ejection lasts. It doubles with each further ejection,
+  /// up to the maximum.
   Duration BaseEjectionTime = std::chrono::seconds(2);
   Duration MaxEjectionTime = std::chrono::seconds(60);
-  /// The share of a service that may be ejected at a time.
+  /// The share of a service's targets that may be unavailable after an
+  /// ejection.
   double MaxEjectedShare = 0.7;
   /// A new target reaches its full weight after this time.
   Duration SlowStart = std::chrono::seconds(10);
-  /// How long a target that shed is left alone.
+  /// How long a target that shed a request gets no further one; up to twice as
+  /// long at random.
   Duration CoolDown = std::chrono::milliseconds(30);
-  /// A drain that nobody repeats is forgotten after this time.
+  /// A reported drain expires after this time unless it is reported again.
   Duration DrainExpiry = std::chrono::seconds(30);
-  /// How long a drain is told to peers after this instance was told itself.
+  /// How long peers are informed of a drain after the target's own report.
   Duration DrainAnnounceTime = std::chrono::seconds(3);
 };
 
-/// What this instance has seen of one target.
+/// What this instance has observed of one target.
 struct TargetState {
   ServiceId Service;
   uint32_t InFlight = 0;
   uint32_t Flows = 0;
-  /// This instance's part of the target's slots.
+  /// How many of the target's slots are assigned to this instance.
   uint32_t Share = 0;
   uint32_t ConsecutiveFailures = 0;
   uint32_t Ejections = 0;
@@ -52,63 +57,67 @@
   Time CoolDownUntil;
   Time FirstSeen;
   Time LastPacketAt;
-  /// Until when the target counts as leaving, by reports.
+  /// When the reported drain expires; the target is leaving until then.
   Time DrainingUntil;
-  /// When this instance itself was last told so; peers hear of that only.
+  /// When the target itself last reported it to this instance. Only such drains
+  /// are announced to peers.
   std::optional<Time> DrainReportedAt;
   bool OperatorDrain = false;
   uint16_t Weight = 1;
 };
 
-/// Why a target took no request, or why one was given back.
+/// How a request at a target ended.
 enum class RequestEnd : uint8_t { Answered, Shed, Silent, Reset, Cancelled };
 
-/// All targets of the newest rule set, and those that still have flows.
+/// All targets of the newest rule set, and older ones that still have flows or
+/// requests.
 class Targets {
 public:
   Targets(InstanceId self, uint64_t seed, TargetOptions options);
 
-  /// The rule set changed.
+  /// Applies a new rule set.
   void learn(const CompiledRules &rules, Time now);
-  /// The live instances changed: deal the slots anew.
+  /// Assigns the slots to the live instances.
   void assignSlots(const CompiledRules &rules,
                    std::span<const InstanceId> live);
 
-  /// The target for a new flow, or none. The choice is between the first two
-  /// of the weighted rendezvous order, so that a lost pin is found again in
-  /// one or two tries.
+  /// Returns the target for a new flow, or none. The choice is between the
+  /// first two of the weighted rendezvous order, so that a recovery of a lost
+  /// pin needs one or two tries.
   std::optional<TargetId> chooseForFlow(const Service &service,
                                         uint64_t flowHash, size_t instances,
                                         Time now) const;
-  /// The target for a request, or none where this instance must wait for one
-  /// of its slots. `tried` are targets that have already refused it. Without
-  /// `mayBorrow` only this instance's own slots count.
+  /// Returns the target for a request, or none if this instance must wait for
+  /// one of its slots. The request was already sent to the targets in `tried`.
+  /// Without `mayBorrow` only this instance's own slots are used.
   std::optional<TargetId> chooseForRequest(const Service &service,
                                            std::span<const TargetId> tried,
                                            Time now, bool mayBorrow = true);
-  /// How many requests of a service this instance may run at the same time.
+  /// Returns how many slots of a service are assigned to this instance.
   uint32_t shareOf(const Service &service) const;
-  /// How many it runs now.
+  /// Returns how many requests of a service this instance has in flight.
   uint32_t inFlightOf(const Service &service) const;
 
   void requestSent(TargetId target);
   void requestEnded(TargetId target, RequestEnd how, Time sentAt, Time now);
   void flowPinned(TargetId target, ServiceId service);
   void flowEnded(TargetId target);
-  /// Any packet came from a target.
+  /// Records that any packet arrived from a target.
   void recordPacket(TargetId target, Time now);
-  /// A target is leaving: it said so itself, or a peer that it told did.
+  /// Records that a target is leaving, as reported by the target itself or by a
+  /// peer.
   void markDraining(TargetId target, bool reportedByTarget, Time now);
-  /// A report says that it is not.
+  /// Records that a target reported that it is not leaving.
   void clearDraining(TargetId target);
-  /// Targets that have lately told this instance that they are leaving.
+  /// Returns the targets that reported to this instance within
+  /// `DrainAnnounceTime` that they are leaving.
   std::vector<TargetId> drainsToAnnounce(Time now) const;
 
   bool isDraining(TargetId target, Time now) const;
   bool isEjected(TargetId target, Time now) const;
-  /// The usual time from sending a request to its answer.
+  /// Returns the mean time from sending a request to its answer.
   Duration serviceTime(ServiceId service) const;
-  /// Null for an unknown target.
+  /// Returns a target's state, or null if the target is unknown.
   const TargetState *find(TargetId target) const;
   const std::unordered_map<TargetId, TargetState> &all() const {
     return States;
@@ -117,7 +126,7 @@
 private:
   struct ServiceState {
     double MeanMicros = 50'000;
-    /// How many slots beyond its share this instance may use.
+    /// How many slots beyond its own share this instance may use.
     double BorrowWindow = 1;
   };
 
--- a/lib/core/ControlPath.h
+++ b/lib/core/ControlPath.h
@@ -9,7 +9,7 @@
 
 namespace chicory {
 
-/// Keeps this instance in step with the others.
+/// Coordinates this instance with the others.
 class ControlPath {
 public:
   ControlPath(CoreState &state, FlowPath &flows, RequestPath &requests);
@@ -46,7 +46,7 @@
   Time NextProbe;
   Time LastPull;
   std::vector<InstanceId> KnownHomes;
-  /// Since when the members document has differed from what it should be.
+  /// Since when the current members document has differed from the wanted one.
   std::optional<Time> WantedSince;
   std::vector<InstanceId> LastWanted;
   std::optional<Time> StopRequestedAt;
--- a/lib/core/CoreState.h
+++ b/lib/core/CoreState.h
@@ -1,4 +1,4 @@
-// What the parts of a core share.
+// State and helpers that the parts of a core share.
 
 #ifndef CHICORYBANK_LIB_CORE_CORESTATE_H
 #define CHICORYBANK_LIB_CORE_CORESTATE_H
@@ -12,7 +12,7 @@
 
 namespace chicory {
 
-/// State that flows, requests and control all read.
+/// State that the flow, request and control paths share.
 struct CoreState {
   CoreState(CoreOptions options, Time startedAt)
       : Options(std::move(options)), StartedAt(startedAt),
@@ -33,7 +33,7 @@
 
   InstanceId self() const { return Options.Self.Id; }
 
-  /// The home of a flow: the first live instance by rendezvous.
+  /// Returns the home of a flow: the first live instance by rendezvous hashing.
   InstanceId homeOf(uint64_t flowHash) const {
     return rendezvousFirst(flowHash, Members.homes());
   }
@@ -41,7 +41,7 @@
   void countRefusal(Reason why) { ++Stats.Refusals[static_cast<size_t>(why)]; }
   void countRetry(Reason why) { ++Stats.Retries[static_cast<size_t>(why)]; }
 
-  /// A deadline on the wire as a time of this core.
+  /// Converts a deadline on the wire to a time of this core.
   Time fromWire(int64_t deadlineMs) const {
     return Time(std::chrono::milliseconds(deadlineMs - Options.EpochMs));
   }
@@ -71,7 +71,7 @@
   }
 };
 
-/// A packet of this kind and flow with nothing else in it.
+/// Returns a packet with only its kind, flow and direction set.
 inline PacketInFlight barePacket(PacketKind kind, const FlowKey &flow,
                                  bool toCaller) {
   PacketInFlight out;
--- a/lib/core/FlowPath.h
+++ b/lib/core/FlowPath.h
@@ -1,4 +1,4 @@
-// Flows at their home: open, pin, relay, recover, expire.
+// Flows at their home instance: opening, pinning, relay, recovery and expiry.
 
 #ifndef CHICORYBANK_LIB_CORE_FLOWPATH_H
 #define CHICORYBANK_LIB_CORE_FLOWPATH_H
@@ -13,40 +13,40 @@
 
 /// Handles packets of flows on their home instance.
 ///
-/// A pin that is lost (its home died, or homes moved) is found again in two
-/// steps. First the instances that may have been the home before are asked.
-/// Where none knows, the packet is sent to the likeliest target: one that does
-/// not have the flow rejects the packet without running anything (a reset, as
-/// TCP does), and then the next is tried. A packet that a target sends for a
-/// flow is proof that this target has it. docs/design/flow-recovery.md weighs
-/// this against replicated tables.
+/// A pin is lost when its home process stops or homes move. It is recovered in
+/// two steps. First the instances that may have been the home before are
+/// queried. If none has the pin, the packet is sent to the most likely target.
+/// A target that does not have the flow rejects the packet without running
+/// anything (with a reset, as TCP does), and the next target is tried. A packet
+/// that a target sends for a flow proves that this target has the flow.
+/// docs/design/flow-recovery.md compares this with replicated tables.
 class FlowPath {
 public:
   explicit FlowPath(CoreState &state);
 
-  /// Open, Data, Close or Reset.
+  /// Handles an Open, Data, Close or Reset packet.
   void handlePacket(const PacketInFlight &packet, Time now, Actions &actions);
-  /// Another instance asks for a pin.
+  /// Answers another instance's query for a pin.
   void answerQuery(const FlowQuery &query, Actions &actions);
-  /// Another instance has answered.
+  /// Handles another instance's reply to a query.
   void handleReply(const FlowReply &reply, Time now, Actions &actions);
-  /// Time passes.
+  /// Expires flows and recoveries whose time is over.
   void tick(Time now, Actions &actions);
 
-  /// The pin of a flow, or null.
+  /// Returns the pin of a flow, or null.
   const FlowPin *find(const FlowKey &flow) { return Flows.find(flow); }
   size_t size() const { return Flows.size(); }
 
 private:
-  /// The recovery of one flow.
+  /// State of the recovery of one flow.
   struct Recovery {
     Time Deadline;
-    /// How many peers have yet to answer; then targets are tried.
+    /// Peers that have not replied yet. At zero, targets are tried.
     size_t PendingReplies = 0;
     /// Targets in the order in which they are tried.
     std::vector<TargetId> Candidates;
     size_t NextCandidate = 0;
-    /// Targets that neither rejected the flow nor showed that they have it.
+    /// Targets that did not answer: they may have the flow or not.
     std::vector<TargetId> Silent;
     std::vector<PacketInFlight> Buffered;
   };
--- a/lib/core/RequestPath.h
+++ b/lib/core/RequestPath.h
@@ -12,15 +12,16 @@
 
 namespace chicory {
 
-// A packet is passed on by the first instance, the owner and a former owner.
+// A packet is forwarded by the first instance, the owner and a former owner.
 inline constexpr uint8_t MaxRequestHops = 3;
-// An outcome is kept this long after its request's deadline, for duplicates.
+// An outcome is kept for this long after its request's deadline, to answer
+// duplicates.
 inline constexpr Duration KeepAfterDeadline = std::chrono::seconds(1);
-// Before a retry, a request waits this long and up to the spread longer.
+// Delay before a retry: the minimum plus a random part up to the jitter.
 inline constexpr Duration BackOffMin = std::chrono::milliseconds(5);
 inline constexpr Duration BackOffJitter = std::chrono::milliseconds(20);
 
-/// Names a request: ids are unique on their flow only.
+/// Identifies a request. Request ids are unique only within their flow.
 struct RequestKey {
   FlowKey Flow;
   RequestId Request;
@@ -28,75 +29,77 @@
   auto operator<=>(const RequestKey &) const = default;
 };
 
-/// The previous owner was asked whether it has seen the request.
+/// Waits for the previous owner's reply about whether it has seen the request.
 struct QueryingPreviousOwner {};
-/// Waits for a slot.
+/// Waits for a slot of a target.
 struct Queued {};
-/// Waits before it is tried again. Evidence that it may be: the target that
-/// had it has said that it did not run it, or the request is idempotent.
+/// Waits before a retry. A retry is safe because the last target reported that
+/// it did not run the request, or because the request is idempotent.
 struct BackingOff {};
-/// A target has it. `AnsweredBy` is set with the first part of the answer, so
-/// that parts of two answers are never mixed.
+/// Was sent to a target. `AnsweredBy` is set by the first part of the answer,
+/// so that parts of two answers are never mixed.
 struct Running {
   TargetId Target;
   Time SentAt;
   std::optional<TargetId> AnsweredBy;
 };
-/// The answer of a request that another instance had sent.
+/// An answer is relayed for a request that no `Running` target is recorded for:
+/// another instance sent it, or its target was already considered silent.
 struct Adopted {
   TargetId AnsweredBy;
 };
-/// The caller got the whole answer.
+/// The caller was sent the complete answer.
 struct Answered {};
-/// The caller was told that there is no answer.
+/// The caller was sent a refusal in place of an answer.
 struct RefusedState {
   RefusedOutcome Outcome = RefusedOutcome::NotRun;
   Reason Why = Reason::None;
   Duration RetryAfter{};
 };
 
-/// The life of a request. It goes from top to bottom, with one way back: from
-/// Running through BackingOff to Queued.
+/// State of a request. States follow each other in this order, except that a
+/// retry goes from Running to BackingOff and back to Queued.
 using RequestState = std::variant<QueryingPreviousOwner, Queued, BackingOff,
                                   Running, Adopted, Answered, RefusedState>;
 
-/// True where the caller has been told its outcome.
+/// Returns whether the caller was sent an outcome.
 inline bool isFinished(const RequestState &state) {
   return std::holds_alternative<Answered>(state) ||
          std::holds_alternative<RefusedState>(state);
 }
 
-/// Decides on requests. `RequestPath.cpp` has admission, the queues and timers;
-/// `RequestOutcome.cpp` what targets answer and what callers are told.
-/// docs/design/at-most-once.md and overload.md tell why.
+/// Handles requests. `RequestPath.cpp` has admission, queues and timers;
+/// `RequestOutcome.cpp` has the answers of targets and the outcomes for
+/// callers. docs/design/at-most-once.md and docs/design/overload.md give the
+/// reasons.
 class RequestPath {
 public:
   RequestPath(CoreState &state, FlowPath &flows);
 
-  /// A request of a caller.
+  /// Handles a request of a caller.
   void handleRequest(const PacketInFlight &packet, uint8_t hops, Time now,
                      Actions &actions);
-  /// The caller no longer waits.
+  /// Cancels a request that its caller no longer waits for.
   void cancel(const Packet &packet, Time now, Actions &actions);
-  /// The caller has closed a flow: nobody waits for its requests.
+  /// Cancels all requests of a flow that its caller has closed.
   void flowClosed(const FlowKey &flow, Time now, Actions &actions);
-  /// An Answer, Refused or Reset of a target.
+  /// Handles an Answer, Refused or Reset packet of a target.
   void fromTarget(const PacketInFlight &packet, uint8_t hops, Time now,
                   Actions &actions);
-  /// True where the request that a packet is about was accepted here.
+  /// Returns whether this instance has a record of a packet's request.
   bool hasRecord(const Packet &packet) const {
     return Records.contains({.Flow = packet.Flow, .Request = packet.Request});
   }
-  /// A later owner asks whether a request was seen here.
+  /// Answers a later owner's query about whether this instance saw a request.
   void answerQuery(const FlowQuery &query, Time now, Actions &actions);
-  /// A former owner has answered.
+  /// Handles a former owner's reply to a query.
   void handleReply(const FlowReply &reply, Time now, Actions &actions);
-  /// Time passes.
+  /// Runs expired timers and dispatches queued requests.
   void tick(Time now, Actions &actions);
 
   size_t size() const { return Records.size(); }
   size_t queued() const { return QueuedCount; }
-  /// How many requests have no outcome yet.
+  /// Returns how many requests have no outcome yet.
   size_t unfinished() const { return Unfinished; }
 
 private:
@@ -104,13 +107,14 @@
     PacketInFlight Request;
     Time Deadline;
     RequestState State;
-    /// No other instance can run it: "not run" may be said.
+    /// No other instance can run it, so the outcome may be "not run".
     bool Exclusive = false;
-    /// A target that had it fell silent: "not run" can't be said any more.
+    /// A target that had it reset or did not answer, so the outcome can no
+    /// longer be "not run".
     bool MayHaveRun = false;
     ServiceId Service;
     std::vector<TargetId> Tried;
-    /// The parts of the answer, by their number.
+    /// The parts of the answer, by part number.
     std::map<uint32_t, PacketInFlight> Parts;
     std::optional<uint32_t> LastPart;
     size_t CachedBytes = 0;
@@ -119,11 +123,11 @@
   using RecordMap = std::map<RequestKey, Record>;
   using Entry = RecordMap::iterator;
 
-  /// What admission found out about who may act.
+  /// Result of the ownership check for a new request.
   struct Admission {
     bool Exclusive = false;
     Reason Why = Reason::None;
-    /// Set where a former owner can tell whether the request was seen.
+    /// The former owner to query about the request; none if it is unreachable.
     InstanceId QueryTo;
     Duration RetryAfter{};
   };
