--- a/lib/core/ControlPath.cpp
+++ b/lib/core/ControlPath.cpp
@@ -5,15 +5,16 @@
 namespace {
 
 constexpr Duration PullRetryInterval = std::chrono::milliseconds(500);
-// A member that is not heard stays in the document for this long at least, so
-// that a hiccup does not move flows.
+// An unreachable member stays in the document for at least this long, so that a
+// short interruption does not move flows.
 constexpr Duration MinProposalDelay = std::chrono::milliseconds(300);
-// Instances propose one after another, so that mostly one does.
+// Instances propose with staggered delays, so that usually only one proposes.
 constexpr Duration ProposalStagger = std::chrono::milliseconds(400);
 constexpr size_t ProbersPerTarget = 2;
 constexpr size_t MaxIntroductions = 2;
 constexpr Duration IntroductionDelay = std::chrono::seconds(1);
-// News goes out at once, but bursts of news share a heartbeat.
+// A change is announced at once, but several changes in a short time share one
+// heartbeat.
 constexpr Duration MinHeartbeatGap = std::chrono::milliseconds(200);
 
 bool contains(const std::vector<InstanceId> &ids, InstanceId id) {
@@ -94,7 +95,7 @@
   Shared.TargetStates.learn(*rules, now);
   Shared.TargetStates.assignSlots(*rules, Shared.Members.homes());
   logEvent(actions, "rules_in_force", std::to_string(rules->version().Value));
-  // Tell the others at once: some may be cut off from the platform.
+  // Announce the version at once: some peers may not reach the platform.
   NextHeartbeat = now;
   tryToGoLive(now, actions);
 }
@@ -107,7 +108,7 @@
   for (const auto &[id, peer] : Shared.Members.peers())
     if (Shared.Members.isReachable(id, now) && peer.Rules > own)
       current = false;
-  // Peers and the platform get time to tell of a newer version.
+  // Wait for peers and the platform to announce a newer version.
   if (!current || now - Shared.StartedAt < Shared.Options.JoinDelay)
     return;
   Shared.Members.setState(InstanceState::Live);
@@ -156,7 +157,8 @@
   for (const auto &[id, peer] : Shared.Members.peers()) {
     bool known =
         id == receiver.Info.Id || contains(receiver.ReachablePeers, id);
-    // Mostly the two find each other without help; that is cheaper.
+    // Usually the two find each other without an introduction, which is
+    // cheaper.
     bool settled = now - peer.KnownSince > IntroductionDelay;
     if (!known && settled && Shared.Members.isReachable(id, now) &&
         out.size() < MaxIntroductions)
@@ -176,7 +178,7 @@
     message.EchoIncarnation = peer.Incarnation;
     message.Introductions = introductionsFor(peer, now);
     if (contains(peer.ReachablePeers, Shared.self()))
-      message.Sender = {.Id = Shared.self()}; // It has the addresses.
+      message.Sender = {.Id = Shared.self()}; // The receiver has the addresses.
     if (peer.Members < common.Members)
       message.Document = Shared.Ownership.document();
     actions.emplace_back(SendHeartbeat{.To = peer.Info, .Message = message});
@@ -193,10 +195,11 @@
                       : peer != nullptr &&
                             Shared.Members.isReachable(it, now) &&
                             peer->State == InstanceState::Leaving;
-    // A member that others hear is not dead, only out of this one's reach.
-    bool dead =
+    // A member that other peers can reach is running; only this instance can't
+    // reach it.
+    bool stopped =
         it != Shared.self() && Shared.Members.isConfirmedUnreachable(it, now);
-    if (!present && !leaves && !dead)
+    if (!present && !leaves && !stopped)
       out.push_back(it);
   }
   std::sort(out.begin(), out.end());
@@ -222,12 +225,13 @@
     WantedSince = now;
     LastWanted = wanted;
   }
-  // Writing a document before the one before the last is void would break
-  // the hand-over rule of `OwnershipTracker`.
+  // While leases under the previous document may remain, writing another
+  // document would break the hand-over rule of `OwnershipTracker`.
   bool due = now - *WantedSince >= proposalDelay() &&
              Shared.Ownership.isPreviousDocumentRetired(now);
-  // The smaller side of a partition could remove the larger one, and gain
-  // nothing: it can't retire the larger side's document.
+  // The smaller side of a partition could remove the larger side from the
+  // document, without any use: it can't get the majority that ends the leases
+  // of the larger side's document.
   auto reachable = [&](InstanceId it) {
     return it == Shared.self() || Shared.Members.isReachable(it, now);
   };
@@ -251,7 +255,7 @@
     return;
   for (const Service &service : rules->set().Services) {
     for (const Target &target : service.Targets) {
-      // Two instances probe each target, so that one may be cut off from it.
+      // Two instances probe each target, in case one of them can't reach it.
       std::vector<InstanceId> probers = rendezvousOrder(
           target.Id.packed(), Shared.Members.homes(), ProbersPerTarget);
       if (!contains(probers, Shared.self()))
@@ -284,7 +288,7 @@
     OwnsNothingSince.reset();
   else if (!OwnsNothingSince)
     OwnsNothingSince = now;
-  // The new owners may ask about requests until their deadlines have passed.
+  // The new owners may query requests until their deadlines have passed.
   bool alone = Shared.Members.homes().empty();
   bool queriesOver =
       OwnsNothingSince &&
--- a/lib/core/Core.cpp
+++ b/lib/core/Core.cpp
@@ -14,7 +14,7 @@
 // A packet goes from its first instance to the home and, while homes move, to
 // a former home.
 constexpr uint8_t MaxHops = 3;
-// Packets that wait for a newer rule set, and for how long.
+// Limits for packets that wait for a newer rule set.
 constexpr size_t MaxWaitingPackets = 1024;
 constexpr Duration MaxWaitForRules = std::chrono::milliseconds(300);
 
@@ -32,7 +32,7 @@
 
 } // namespace
 
-/// Sorts events out to the parts of the core.
+/// Dispatches events to the parts of the core.
 class CoreImpl {
 public:
   CoreImpl(CoreOptions options, Time startedAt)
@@ -63,7 +63,7 @@
   void handleHere(const PacketInFlight &packet, uint8_t hops);
   void retryWaiting();
 
-  /// A packet from an instance that holds newer rules than this one.
+  /// A packet forwarded by an instance that has newer rules than this one.
   struct WaitingPacket {
     ForwardedPacketArrived Event;
     Time Until;
@@ -98,16 +98,17 @@
   if (content.Kind == PacketKind::Probe)
     return State.countRefusal(Reason::BadPacket);
   InstanceId to = destination(content);
-  // An instance that joins and knows no home yet must not judge: it would
-  // reset established flows because it has never heard of them. The caller's
-  // next packet finds a home.
+  // A joining instance that knows no home yet drops the packet: it has no state
+  // of established flows and would reset them. The caller's next packet reaches
+  // a home.
   bool knowsNoHome =
       to == InstanceId{} && State.Members.state() == InstanceState::Joining;
   if (knowsNoHome)
     return State.countRefusal(Reason::NoRules);
-  // During a hand-over the former owner holds the request, while members
-  // already name the new one. Passed to and fro between them, the parts of an
-  // answer would end at different instances and the caller would get half.
+  // During a hand-over the former owner has the record of the request, while
+  // the members document already names the new owner. If the two forwarded the
+  // parts of an answer back and forth, the parts would end at different
+  // instances and the caller would get only some of them.
   bool recordedHere = content.ToCaller && Requests.hasRecord(content);
   bool here = recordedHere || to == State.self() || to == InstanceId{};
   if (!here && hops < MaxHops)
@@ -145,8 +146,8 @@
   bool behind = event.Rules > State.History.version();
   if (!decides || !behind)
     return route(event.Packet, event.Hops);
-  // Another instance has already seen newer rules, and may have decided by
-  // them. Deciding by older ones now would send this flow elsewhere.
+  // The other instance has newer rules and may already have applied them. A
+  // decision by older rules could send this flow to another target.
   if (WaitingForRules.size() >= MaxWaitingPackets)
     return State.countRefusal(Reason::NoRules);
   WaitingForRules.push_back({.Event = event, .Until = Now + MaxWaitForRules});
--- a/lib/core/FlowPath.cpp
+++ b/lib/core/FlowPath.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// How many former homes are asked for a pin.
+// How many possible former homes are queried for a pin.
 constexpr size_t MaxPeersQueried = 3;
 // A sweep of the whole table takes about this many ticks.
 constexpr size_t SweepTicks = 250;
@@ -51,7 +51,7 @@
 }
 
 void FlowPath::bufferForNextTarget(const PacketInFlight &packet) {
-  // The target may yet reject the flow; the next one gets this packet too.
+  // If this target rejects the flow, the next one must get this packet too.
   auto it = Recoveries.find(packet.Content.Flow);
   bool room =
       it != Recoveries.end() &&
@@ -128,7 +128,7 @@
     return;
   FlowPin *found = Flows.find(flow);
   if (found == nullptr || found->Tentative) {
-    // Only a target that has the flow sends for it: this is the pin.
+    // Only a target that has the flow sends packets of it, so pin to it.
     ServiceId service = Shared.History.serviceOfTarget(packet.From);
     if (service == ServiceId{})
       return Shared.countRefusal(Reason::ForeignSource);
@@ -154,13 +154,13 @@
   const FlowKey &flow = packet.Content.Flow;
   FlowPin *found = Flows.find(flow);
   auto it = Recoveries.find(flow);
-  // A reset from a target that does not hold the flow is a late rejection.
+  // A reset from a target that the flow is not pinned to is a late rejection.
   if (found == nullptr || found->PinnedTarget != packet.From)
     return true;
   if (!found->Tentative)
     return false;
-  // The guess was wrong. Without a recovery under way the caller's next packet
-  // starts one.
+  // The guess was wrong. If no recovery is in progress, the caller's next
+  // packet starts one.
   unpin(flow);
   if (it != Recoveries.end() && !tryNextTarget(flow, it->second, now, actions))
     failRecovery(flow, now, actions);
@@ -173,8 +173,8 @@
   Recoveries.erase(it);
   if (silent.empty())
     return refuseFlow(flow, Reason::UnknownFlow, actions);
-  // A target that did not answer may have the flow, beyond a cut. Resetting
-  // the flow would break it; a guess stands until some target shows itself.
+  // A target that did not answer may have the flow and be unreachable. A reset
+  // would break the flow. Pin to a guess until a target sends a packet of it.
   Shared.countRefusal(Reason::RecoveryFailed);
   TargetId guess = silent.front();
   if (FlowPin *fresh =
@@ -241,8 +241,8 @@
                           Actions &actions) {
   recovery.PendingReplies = 0;
   std::vector<ServiceId> services = Shared.History.servicesOf(flow);
-  // Trying a target of the wrong service would carry a packet to a service
-  // that it was not meant for. Wait for the target that has the flow to send.
+  // Trying a target of the wrong service would deliver a packet to a service
+  // that it was not meant for. Wait until the target that has the flow sends.
   if (services.size() > 1) {
     Shared.countRefusal(Reason::AmbiguousService);
     Recoveries.erase(flow);
@@ -290,7 +290,7 @@
     Shared.countRefusal(Reason::FlowTableFull);
   } else {
     found->Tentative = false;
-    // What was sent to this target as a try has reached it.
+    // The same target has already got the buffered packets as a try.
     if (it != Recoveries.end() && !sameTarget)
       for (const PacketInFlight &buffered : it->second.Buffered)
         relayToTarget(*found, buffered, now, actions);
@@ -307,9 +307,10 @@
     Shared.TargetStates.flowEnded(pin.PinnedTarget);
     return true;
   }
-  // A flow is silent when its caller goes on and its target does not, while
-  // the target's other flows live: something in between has forgotten the
-  // flow. Both ends are told, so that the caller opens a new one.
+  // A flow is silent when its caller keeps sending and its target does not,
+  // although other packets arrive from the target: something in between has
+  // lost the flow's state. Both ends get a reset, so that the caller opens a
+  // new flow.
   const TargetState *target = Shared.TargetStates.find(pin.PinnedTarget);
   auto silentFor = std::chrono::seconds(
       pin.LastFromCaller - std::min(pin.LastFromTarget, pin.LastFromCaller));
@@ -338,7 +339,7 @@
       tryTargets(FlowKey(current->first), current->second, now, actions);
       continue;
     }
-    // The target said nothing. It may have the flow, or be out of reach.
+    // The target did not answer. It may have the flow, or be unreachable.
     FlowKey flow = current->first;
     if (FlowPin *found = Flows.find(flow)) {
       current->second.Silent.push_back(found->PinnedTarget);
--- a/lib/core/FlowTable.cpp
+++ b/lib/core/FlowTable.cpp
@@ -53,8 +53,8 @@
 }
 
 void FlowTable::eraseAt(size_t i) {
-  // Backward-shift deletion: pull later pins of the same run forward, so that
-  // no tombstones pile up.
+  // Backward-shift deletion: moves later pins of the same probe sequence back,
+  // so that no tombstones accumulate.
   size_t size = Slots.size();
   size_t next = i + 1 == size ? 0 : i + 1;
   while (Slots[next].Used) {
--- a/lib/core/Membership.cpp
+++ b/lib/core/Membership.cpp
@@ -27,8 +27,9 @@
 bool Membership::recordHeartbeat(const Heartbeat &heartbeat, Time now) {
   InstanceId from = heartbeat.Sender.Id;
   bool idOnly = !heartbeat.Sender.Peers;
-  // Bare heartbeats go to receivers that are known to have the addresses; one
-  // that has forgotten them answers nothing until it gets them again.
+  // Heartbeats without addresses are for receivers that have the addresses. A
+  // receiver that has removed the peer ignores them until the sender includes
+  // the addresses again.
   if (from == Self.Id || (idOnly && !Peers.contains(from)))
     return false;
   addPeer(heartbeat.Sender, now);
@@ -59,10 +60,9 @@
 }
 
 void Membership::update(Time now) {
-  // After a pause of this very process every peer looks silent, and it would
-  // take itself for everyone's home. Its own silence is not theirs: they get
-  // the time to be heard again. Leases are not extended (see
-  // `OwnershipTracker`).
+  // After a pause of this process all peers look silent, and it would consider
+  // itself the home of all flows. So the length of the pause does not count as
+  // silence of the peers. Leases are not extended (see `OwnershipTracker`).
   Duration gap = now - LastUpdate;
   if (LastUpdate != Time{} && gap > Options.HeartbeatInterval)
     for (auto &[id, peer] : Peers)
--- a/lib/core/OwnershipTracker.cpp
+++ b/lib/core/OwnershipTracker.cpp
@@ -27,9 +27,9 @@
 bool OwnershipTracker::learn(const MembersDocument &document, Time now) {
   if (document.Version <= this->document().Version)
     return false;
-  // Nobody can have taken over under the next document but one before this
-  // instance announces this one, or a lease time has passed; so the lease that
-  // it holds now stays good for its rest, and no request meets a gap.
+  // Nobody can take over under the document after this one before this instance
+  // has announced this one or a lease time has passed. So the rest of the
+  // current lease stays valid, and no request is refused because of the change.
   InheritedLeaseUntil = std::min(leaseUntil(), now + Options.LeaseTime);
   Transitions.push_back({.Document = document, .LearnedAt = now});
   if (Transitions.size() > TransitionsKept)
@@ -68,7 +68,7 @@
   const MembersDocument &doc = document();
   if (!contains(doc.Members, Self))
     return Time{};
-  // This instance's own word holds for as long as the others' does.
+  // This instance counts as one confirmation that never ends before the others.
   size_t needed = majorityOf(doc.Members) - 1;
   if (needed == 0)
     return Time::max();
@@ -118,8 +118,9 @@
       out.OwnedSince = std::max(StartedAt, at.value_or(now));
       return out;
     }
-    // Documents were missed in between. Each was written only after the one
-    // before its predecessor was void, so all that was missed is void now.
+    // This instance missed documents in between. Each document is written only
+    // after all leases under its predecessor's predecessor have ended, so only
+    // leases under `Previous` can be left. The check above covers these.
     bool missed = it.Document.Version.Value != older.Version.Value + 1;
     if (missed && rendezvousFirst(flowHash, older.Members) != Self) {
       out.OwnedSince = std::max(StartedAt, it.LearnedAt);
--- a/lib/core/RequestOutcome.cpp
+++ b/lib/core/RequestOutcome.cpp
@@ -1,4 +1,4 @@
-// What targets answer, and what callers are told: the second half of
+// Answers of targets and outcomes for callers: the second half of
 // `RequestPath`.
 
 #include "RequestPath.h"
@@ -9,7 +9,7 @@
 
 constexpr size_t MaxTries = 4;
 
-/// True where a request was sent to a target at some time.
+/// Returns whether a request was ever sent to a target.
 template <typename Record>
 bool wasTried(const Record &record, TargetId target) {
   return std::find(record.Tried.begin(), record.Tried.end(), target) !=
@@ -37,7 +37,7 @@
   Entry entry =
       Records.find({.Flow = content.Flow, .Request = content.Request});
   if (entry == Records.end()) {
-    // The instance that sent the request may have owned the flow before.
+    // The request may have been sent by the previous owner of the flow.
     if (!forwardToFormerOwner(packet, hops, now, actions))
       adoptAnswer(packet, now, actions);
     return;
@@ -50,9 +50,9 @@
 
 void RequestPath::adoptAnswer(const PacketInFlight &packet, Time now,
                               Actions &actions) {
-  // The instance that sent this request is gone, and its caller still waits.
-  // An answer is relayed; a refusal can only become "unknown", since it can't
-  // be told what else that instance did.
+  // The instance that sent this request is unreachable and the caller still
+  // waits. An answer is relayed. A refusal becomes "unknown", because that
+  // instance may have sent the request to other targets too.
   const Packet &content = packet.Content;
   if (Shared.History.serviceOfTarget(packet.From) == ServiceId{})
     return Shared.countRefusal(Reason::ForeignSource);
@@ -84,7 +84,7 @@
   } else if (const auto *adopted = std::get_if<Adopted>(&record.State)) {
     expected = adopted->AnsweredBy == from;
   } else if (!isFinished(record.State) && wasTried(record, from)) {
-    // A target that was thought silent answers before the next one is tried.
+    // A target whose answer was overdue answers before the next one is tried.
     expected = true;
     setState(entry, Adopted{.AnsweredBy = from});
   }
@@ -92,7 +92,7 @@
     return Shared.countRefusal(Reason::StrayAnswer);
   uint32_t part = packet.Content.Part;
   if (!record.Parts.emplace(part, packet).second)
-    return; // A duplicate of a part that the caller has.
+    return; // The caller already has this part.
   size_t bytes = static_cast<size_t>(packet.Datagram.size()) + sizeof(packet);
   record.CachedBytes += bytes;
   CachedBytes += bytes;
@@ -119,7 +119,8 @@
   setState(entry, Answered{});
   --Unfinished;
   Record &record = entry->second;
-  // Duplicates of the request get the same answer again, while memory allows.
+  // The answer is kept for duplicates of the request if the memory limit
+  // allows.
   if (CachedBytes > Shared.Options.Requests.MaxCachedBytes) {
     CachedBytes -= record.CachedBytes;
     record.CachedBytes = 0;
@@ -227,7 +228,7 @@
   if (const auto *refused = std::get_if<RefusedState>(&record.State))
     return sendRefusal(request.Flow, request.Request, *refused, actions);
   if (!std::holds_alternative<Answered>(record.State))
-    return; // Its outcome is still to come.
+    return; // It has no outcome yet.
   for (const auto &[number, part] : record.Parts)
     Shared.sendToCaller(part, actions);
 }
--- a/lib/core/RequestPath.cpp
+++ b/lib/core/RequestPath.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr Duration DefaultRetryAfter = std::chrono::seconds(1);
-// An idempotent request is sent to a second target after this many usual
+// An idempotent request is retried at another target after this many mean
 // service times without an answer.
 constexpr int SilenceTimeoutFactor = 4;
 constexpr Duration MinSilenceTimeout = std::chrono::milliseconds(200);
@@ -29,8 +29,8 @@
     return {.Why = Reason::LeaseLapsed, .RetryAfter = DefaultRetryAfter};
   if (deadline > now + options.MaxRequestLife)
     return {.Why = Reason::DeadlineTooFar};
-  // Whoever acted before `OwnedSince` accepted no request with a deadline
-  // after this time; so a later deadline proves that the request is new.
+  // Owners before `OwnedSince` accepted no request with a deadline after this
+  // time, so a later deadline proves that the request is new.
   Time provenNewAfter =
       view.OwnedSince + options.MaxRequestLife + 2 * options.MaxClockSkew;
   if (deadline > provenNewAfter)
@@ -49,11 +49,10 @@
     return resendOutcome(it->second, actions);
   Time deadline = Shared.fromWire(content.DeadlineMs);
   Admission admission = checkOwnership(content.Flow, deadline, now);
-  // Any home may run an idempotent request, owner or not; so no instance can
-  // promise for a duplicate that reaches another one.
+  // Any home may run an idempotent request without owning its flow, so no
+  // instance can promise that a duplicate is not run elsewhere.
   admission.Exclusive = admission.Exclusive && !content.Idempotent;
-  // Once its record may have been forgotten, nobody can tell what became of a
-  // request.
+  // Once the record of a request may have been removed, its outcome is unknown.
   bool remembered = now < deadline + KeepAfterDeadline;
   RefusedOutcome ifRefused = admission.Exclusive && remembered
                                  ? RefusedOutcome::NotRun
@@ -63,7 +62,8 @@
         content, {.Outcome = ifRefused, .Why = Reason::DeadlinePassed},
         actions);
   if (Records.size() >= Shared.Options.Requests.MaxRequests)
-    // Without a record a later duplicate could run: "not run" can't be said.
+    // Without a record a later duplicate could run, so "not run" would be
+    // wrong.
     return refuseWithoutRecord(content,
                                {.Outcome = RefusedOutcome::Unknown,
                                 .Why = Reason::RequestTableFull,
@@ -105,7 +105,7 @@
 }
 
 ServiceId RequestPath::serviceFor(const FlowKey &flow, Reason &why) {
-  // An open flow keeps its service, whatever the newest rules say.
+  // An open flow keeps its service even if newer rules differ.
   if (const FlowPin *pin = Flows.find(flow))
     return pin->Service;
   const CompiledRules *rules = Shared.History.newest();
@@ -133,7 +133,8 @@
   uint32_t share = std::max(1U, Shared.TargetStates.shareOf(service));
   if (ahead == 0 && Shared.TargetStates.inFlightOf(service) < share)
     return false;
-  // The requests ahead, and half a service time until the first slot is free.
+  // Time for the queued requests, and half a service time until the first slot
+  // is free.
   wait = usual * static_cast<int64_t>(ahead) / share + usual / 2;
   return now + wait + usual > deadline;
 }
@@ -179,23 +180,23 @@
     bool waiting = entry != Records.end() &&
                    std::holds_alternative<Queued>(entry->second.State);
     if (!waiting) {
-      queue->second.pop_front(); // It was refused or cancelled meanwhile.
+      queue->second.pop_front(); // It was refused or cancelled.
       continue;
     }
     if (service == nullptr) {
       finish(entry, {.Why = Reason::NoTarget}, now, actions);
       continue;
     }
-    // Don't start what can hardly be answered in time: its slot is worth more
-    // to a request that can.
+    // Don't start a request that can hardly be answered in time; leave the slot
+    // to one that can.
     Duration usual = Shared.TargetStates.serviceTime(id);
     if (now + usual / 2 > entry->second.Deadline) {
       finish(entry, {.Why = Reason::QueueFull, .RetryAfter = usual}, now,
              actions);
       continue;
     }
-    // A borrowed slot may turn out to be taken. Without a retry to spare the
-    // request waits for a slot of this instance's own.
+    // The target may shed a request on a borrowed slot. Without a retry left in
+    // the budget, the request waits for one of this instance's own slots.
     bool mayBorrow = RetryTokens >= 1;
     std::optional<TargetId> target = Shared.TargetStates.chooseForRequest(
         *service, entry->second.Tried, now, mayBorrow);
@@ -259,8 +260,8 @@
   if (Records.contains({.Flow = query.Flow, .Request = query.Request})) {
     reply.Result = QueryResult::Seen;
   } else if (former) {
-    // "Not seen" holds for good: this instance accepts nothing for the flow
-    // any more, and the one before it had left before this deadline's time.
+    // "Not seen" stays true: this instance accepts no further requests for the
+    // flow, and owners before it accepted none with a deadline this late.
     Time provenNewAfter =
         former->OwnedSince + options.MaxRequestLife + 2 * options.MaxClockSkew;
     if (former->HandOverComplete &&
@@ -334,7 +335,7 @@
     return setTimer(entry, record.Deadline);
   release(entry, RequestEnd::Silent, now);
   if (again) {
-    // A late answer of this target is still taken: see `handleAnswerPart`.
+    // A late answer of this target is still accepted, see `handleAnswerPart`.
     retryOrRefuse(entry, Reason::TargetSilent, now, actions);
   } else {
     finish(entry,
--- a/lib/core/Targets.cpp
+++ b/lib/core/Targets.cpp
@@ -9,15 +9,18 @@
 
 namespace {
 
-// A target with this much more load than the other one loses the choice.
+// A new flow goes to the second target in its order if the first target's load
+// is above the second one's load times `LoadSlack` plus `FlowSlack`.
 constexpr double LoadSlack = 1.1;
 constexpr double FlowSlack = 2;
-// The weight of one sample in the mean service time.
+// Weight of one sample in the moving mean of the service time.
 constexpr double SampleWeight = 0.1;
-// A new target starts with this part of its weight.
+// Fraction of its weight that a new target starts with.
 constexpr double MinSlowStartFactor = 0.1;
-// Growth with each answer and shrinkage with each shed. Where they balance, the
-// share of sheds is growth / ((1 - shrink) * window): below the retry budget.
+// The borrow window grows by `BorrowGrowth` with each answer and is multiplied
+// by `BorrowShrink` with each shed request. In equilibrium the share of shed
+// requests is BorrowGrowth / ((1 - BorrowShrink) * window), which is below the
+// retry budget.
 constexpr double BorrowGrowth = 0.02;
 constexpr double BorrowShrink = 0.5;
 constexpr double MinBorrowWindow = 0.05;
@@ -41,7 +44,7 @@
       state.Service = service.Id;
       state.Weight = target.Weight;
       state.OperatorDrain = target.Drain;
-      // With the first rule set nothing is known to be cold.
+      // Targets of the first rule set are not new: no slow start for them.
       if (fresh)
         state.FirstSeen = first ? now - Options.SlowStart : now;
     }
@@ -60,8 +63,8 @@
   if (live.empty())
     return;
   for (const Service &service : rules.set().Services) {
-    // Every service starts at another instance, so that no instance gets the
-    // odd slot of all services.
+    // Each service starts at a different instance, so that the remainders of
+    // all services don't go to the same instance.
     size_t turn = mixHash(service.Id.Value, 1) % live.size();
     for (uint32_t slot = 0; slot < service.Slots; ++slot) {
       for (const Target &target : service.Targets) {
@@ -96,8 +99,8 @@
     double Score = -1;
     double Load = 0;
   };
-  // This instance may hold twice its even part of a target's connections: the
-  // flows of one target spread unevenly over the homes.
+  // This instance may use twice its even share of a target's connections,
+  // because the flows of one target spread unevenly over the homes.
   uint32_t maxFlows = std::max<uint32_t>(
       1, service.Connections * 2 /
              static_cast<uint32_t>(std::max<size_t>(instances, 2)));
@@ -203,7 +206,7 @@
   state.EjectedUntil = now + std::min(length, Options.MaxEjectionTime);
   state.ConsecutiveFailures = 0;
   ++state.Ejections;
-  // It comes back as if it were new.
+  // After the ejection it goes through slow start like a new target.
   state.FirstSeen = state.EjectedUntil;
 }
 
@@ -221,8 +224,8 @@
     service.MeanMicros += SampleWeight * (micros - service.MeanMicros);
     state.ConsecutiveFailures = 0;
     state.Ejections = 0;
-    // Growth by every answer, not only by those on borrowed slots: a window
-    // below one lets nothing be borrowed and would stay shut for good.
+    // Every answer grows the window, not only answers on borrowed slots: a
+    // window below one allows no borrowing and could never grow again.
     service.BorrowWindow =
         std::min(service.BorrowWindow + BorrowGrowth, MaxBorrowWindow);
     break;
