--- a/tests/FakeDeployment.cpp
+++ b/tests/FakeDeployment.cpp
@@ -39,7 +39,7 @@
   options.Self = info(id);
   options.Incarnation = Random();
   options.Seed = Random();
-  Nodes[id].Decisions = std::make_unique<Core>(options, Now);
+  Nodes[id].CoreUnderTest = std::make_unique<Core>(options, Now);
   InstancesDiscovered named;
   for (InstanceId it : ids())
     named.Instances.push_back(info(it));
@@ -63,18 +63,18 @@
 void FakeDeployment::kill(InstanceId id) {
   Nodes.erase(id);
   for (InstanceId it : ids())
-    if (!cutBetween(it, id))
+    if (!isPartitioned(it, id))
       deliver(it, PeerRefused{.Peer = id});
 }
 
-void FakeDeployment::pause(InstanceId id, bool on) {
+void FakeDeployment::pause(InstanceId id, bool paused) {
   Node &node = Nodes.at(id);
-  node.Paused = on;
-  if (on)
+  node.Paused = paused;
+  if (paused)
     return;
   // What came while it was paused is handled before its first tick.
-  std::vector<Event> held = std::move(node.Held);
-  node.Held.clear();
+  std::vector<Event> held = std::move(node.PendingEvents);
+  node.PendingEvents.clear();
   for (const Event &it : held)
     handle(id, it);
 }
@@ -86,7 +86,7 @@
   bool ok = runUntil(
       [this] {
         return std::all_of(Nodes.begin(), Nodes.end(), [this](auto &it) {
-          CoreStats stats = it.second.Decisions->stats();
+          CoreStats stats = it.second.CoreUnderTest->stats();
           return stats.HomesNow == Nodes.size() && stats.HoldsLease &&
                  stats.Members == Members.Version;
         });
@@ -96,36 +96,36 @@
   return ok;
 }
 
-void FakeDeployment::at(Duration delay, std::function<void()> what) {
-  Queue.emplace(Now + delay, Item{std::move(what)});
+void FakeDeployment::at(Duration delay, std::function<void()> run) {
+  Queue.emplace(Now + delay, Task{std::move(run)});
 }
 
 Duration FakeDeployment::delay() {
   return Duration(1 + static_cast<int64_t>(
-                          Random() % static_cast<uint64_t>(DelayMost.count())));
+                          Random() % static_cast<uint64_t>(MaxDelay.count())));
 }
 
 void FakeDeployment::run(Duration length) {
   Time end = Now + length;
   while (!Queue.empty() && Queue.begin()->first <= end) {
     Now = std::max(Now, Queue.begin()->first);
-    std::function<void()> what = std::move(Queue.begin()->second.What);
+    std::function<void()> run = std::move(Queue.begin()->second.Run);
     Queue.erase(Queue.begin());
-    what();
+    run();
   }
   Now = end;
 }
 
 bool FakeDeployment::runUntil(const std::function<bool()> &done,
-                              Duration most) {
-  for (Time end = Now + most; Now < end; run(Step))
+                              Duration timeout) {
+  for (Time end = Now + timeout; Now < end; run(Step))
     if (done())
       return true;
   return done();
 }
 
-bool FakeDeployment::cutBetween(InstanceId one, InstanceId other) const {
-  return Inside.contains(one) != Inside.contains(other);
+bool FakeDeployment::isPartitioned(InstanceId one, InstanceId other) const {
+  return PartitionSide.contains(one) != PartitionSide.contains(other);
 }
 
 void FakeDeployment::deliver(InstanceId to, Event event) {
@@ -137,16 +137,16 @@
   if (it == Nodes.end())
     return;
   if (it->second.Paused) {
-    it->second.Held.push_back(event);
+    it->second.PendingEvents.push_back(event);
     return;
   }
   Actions actions;
-  it->second.Decisions->handle(event, Now, actions);
+  it->second.CoreUnderTest->handle(event, Now, actions);
   for (const Action &action : actions)
-    carryOut(to, action);
+    perform(to, action);
 }
 
-void FakeDeployment::carryOut(InstanceId from, const Action &action) {
+void FakeDeployment::perform(InstanceId from, const Action &action) {
   if (const auto *packet = std::get_if<SendPacket>(&action)) {
     Packet content = packet->Content;
     if (packet->To)
@@ -156,22 +156,22 @@
     else
       at(delay(), [this, content] { toCaller(content); });
   } else if (const auto *passOn = std::get_if<ForwardPacket>(&action)) {
-    if (!cutBetween(from, passOn->To))
+    if (!isPartitioned(from, passOn->To))
       deliver(passOn->To, ForwardedPacketArrived{.Sender = from,
                                                  .Packet = passOn->Packet,
                                                  .Hops = passOn->Hops,
                                                  .Rules = passOn->Rules});
   } else if (const auto *query = std::get_if<SendQuery>(&action)) {
-    if (!cutBetween(from, query->To))
+    if (!isPartitioned(from, query->To))
       deliver(query->To, QueryArrived{.Message = query->Message});
   } else if (const auto *heartbeat = std::get_if<SendHeartbeat>(&action)) {
     ++HeartbeatsSent[from];
-    if (!cutBetween(from, heartbeat->To.Id))
+    if (!isPartitioned(from, heartbeat->To.Id))
       deliver(heartbeat->To.Id,
               HeartbeatArrived{.Message = heartbeat->Message});
   } else if (const auto *pull = std::get_if<PullRules>(&action)) {
     bool reachable = Nodes.contains(pull->From.Id) &&
-                     !cutBetween(from, pull->From.Id) &&
+                     !isPartitioned(from, pull->From.Id) &&
                      core(pull->From.Id).stats().Rules == Rules->version();
     if (reachable)
       deliver(from, RulesLearned{.Rules = Rules});
@@ -183,7 +183,7 @@
 }
 
 void FakeDeployment::write(InstanceId from, const MembersDocument &document) {
-  if (!PlatformUp || Inside.contains(from))
+  if (!PlatformUp || PartitionSide.contains(from))
     return;
   if (document.Version.Value == Members.Version.Value + 1) {
     Members = document;
@@ -195,13 +195,13 @@
 }
 
 void FakeDeployment::learnMembers(InstanceId id) {
-  if (!Inside.contains(id) && Members.Version != MembersVersion{})
+  if (!PartitionSide.contains(id) && Members.Version != MembersVersion{})
     deliver(id, MembersLearned{.Document = Members});
 }
 
 void FakeDeployment::learnRules(InstanceId id) {
   bool watches = Watchers.empty() || Watchers.contains(id);
-  if (PlatformUp && watches && !Inside.contains(id))
+  if (PlatformUp && watches && !PartitionSide.contains(id))
     deliver(id, RulesLearned{.Rules = Rules});
 }
 
@@ -212,11 +212,11 @@
     learnRules(it);
 }
 
-void FakeDeployment::spray(const PacketInFlight &packet) {
+void FakeDeployment::sendToRandomInstances(const PacketInFlight &packet) {
   if (Nodes.empty())
     return;
-  std::bernoulli_distribution twice(Duplicate);
-  int copies = Duplicate > 0 && twice(Random) ? 2 : 1;
+  std::bernoulli_distribution twice(DuplicateProbability);
+  int copies = DuplicateProbability > 0 && twice(Random) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     auto it = std::next(Nodes.begin(),
                         static_cast<ptrdiff_t>(Random() % Nodes.size()));
@@ -227,7 +227,7 @@
 void FakeDeployment::send(PacketKind kind, const FlowKey &flow) {
   PacketInFlight out;
   out.Content = {.Kind = kind, .Flow = flow};
-  spray(out);
+  sendToRandomInstances(out);
 }
 
 void FakeDeployment::request(const FlowKey &flow, uint64_t id, bool idempotent,
@@ -242,7 +242,7 @@
                  .DeadlineMs = ms.count()};
   Outcomes[id];
   for (int i = 0; i < copies; ++i)
-    spray(out);
+    sendToRandomInstances(out);
 }
 
 void FakeDeployment::requestAt(InstanceId at, const FlowKey &flow, uint64_t id,
@@ -262,17 +262,17 @@
   PacketInFlight out;
   out.Content = {
       .Kind = PacketKind::Cancel, .Flow = flow, .Request = RequestId{id}};
-  spray(out);
+  sendToRandomInstances(out);
 }
 
 void FakeDeployment::toTarget(TargetId id, const Packet &packet,
                               InstanceId from) {
   auto found = Targets.find(id);
-  bool cutOff = Unreachable[from].contains(id);
-  if (found == Targets.end() || found->second.Dead || cutOff)
+  bool cutOff = UnreachableTargets[from].contains(id);
+  if (found == Targets.end() || found->second.Stopped || cutOff)
     return;
   FakeTarget &target = found->second;
-  std::vector<TargetId> &reached = Reached[packet.Flow];
+  std::vector<TargetId> &reached = ReachedTargets[packet.Flow];
   bool ofFlow =
       packet.Kind == PacketKind::Open || packet.Kind == PacketKind::Data;
   if (ofFlow && (reached.empty() || reached.back() != id))
@@ -315,8 +315,8 @@
   ++target.Running;
   ++target.Executed;
   ++Runs[packet.Request.Value];
-  auto spread = static_cast<uint64_t>((WorkMost - WorkLeast).count()) + 1;
-  Duration work = WorkLeast + Duration(Random() % spread);
+  auto spread = static_cast<uint64_t>((MaxWork - MinWork).count()) + 1;
+  Duration work = MinWork + Duration(Random() % spread);
   at(work, [this, id, packet] {
     --Targets[id].Running;
     for (uint32_t part : {1U, 0U})
@@ -329,17 +329,17 @@
 }
 
 void FakeDeployment::fromTarget(TargetId id, Packet packet) {
-  if (Targets[id].Dead)
+  if (Targets[id].Stopped)
     return;
   packet.ToCaller = true;
   PacketInFlight out;
   out.Content = std::move(packet);
   out.From = id;
-  spray(out);
+  sendToRandomInstances(out);
 }
 
 void FakeDeployment::toCaller(const Packet &packet) {
-  Told &told = Outcomes[packet.Request.Value];
+  Outcome &outcome = Outcomes[packet.Request.Value];
   switch (packet.Kind) {
   case PacketKind::Data:
     ++DataToCaller[packet.Flow];
@@ -348,12 +348,12 @@
     ++ResetsToCaller[packet.Flow];
     return;
   case PacketKind::Answer:
-    ++told.Parts;
-    told.Whole = told.Parts >= 2;
+    ++outcome.Parts;
+    outcome.Whole = outcome.Parts >= 2;
     return;
   case PacketKind::Refused:
-    told.Refusals.push_back(packet.Outcome);
-    told.Reasons.push_back(packet.Why);
+    outcome.Refusals.push_back(packet.Outcome);
+    outcome.Reasons.push_back(packet.Why);
     return;
   default:
     return;
--- a/tests/FakeDeployment.h
+++ b/tests/FakeDeployment.h
@@ -21,7 +21,7 @@
 using namespace chicory;
 
 /// What one caller was told of one request.
-struct Told {
+struct Outcome {
   uint32_t Parts = 0;
   bool Whole = false;
   std::vector<RefusedOutcome> Refusals;
@@ -32,7 +32,7 @@
 struct FakeTarget {
   std::set<FlowKey> Flows;
   uint32_t Running = 0;
-  bool Dead = false;
+  bool Stopped = false;
   bool Draining = false;
   uint64_t Executed = 0;
 };
@@ -45,20 +45,22 @@
   Time now() const { return Now; }
   void run(Duration length);
   /// Runs until a condition holds; false where it does not within the time.
-  bool runUntil(const std::function<bool()> &done, Duration most);
+  bool runUntil(const std::function<bool()> &done, Duration timeout);
 
   // --- instances
   InstanceId add();
   void kill(InstanceId id);
-  void pause(InstanceId id, bool on);
+  void pause(InstanceId id, bool paused);
   void stop(InstanceId id);
-  bool stopped(InstanceId id) const { return Nodes.at(id).SafeToStop; }
-  bool alive(InstanceId id) const { return Nodes.contains(id); }
-  Core &core(InstanceId id) { return *Nodes.at(id).Decisions; }
+  bool isSafeToStop(InstanceId id) const { return Nodes.at(id).SafeToStop; }
+  bool isRunning(InstanceId id) const { return Nodes.contains(id); }
+  Core &core(InstanceId id) { return *Nodes.at(id).CoreUnderTest; }
   std::vector<InstanceId> ids() const;
   /// Cuts instances apart: those inside from those outside.
-  void cut(std::set<InstanceId> inside) { Inside = std::move(inside); }
-  void heal() { Inside.clear(); }
+  void partition(std::set<InstanceId> inside) {
+    PartitionSide = std::move(inside);
+  }
+  void endPartition() { PartitionSide.clear(); }
   /// Runs until all are live, hear each other and hold a lease.
   bool settle();
 
@@ -82,47 +84,47 @@
   void cancel(const FlowKey &flow, uint64_t id);
 
   // --- what was seen
-  std::map<uint64_t, Told> Outcomes;
+  std::map<uint64_t, Outcome> Outcomes;
   std::map<uint64_t, uint32_t> Runs;
   std::map<FlowKey, uint64_t> DataToCaller;
   std::map<FlowKey, uint64_t> ResetsToCaller;
   std::map<TargetId, FakeTarget> Targets;
   /// Which targets have got packets of a flow, in order, without repeats.
-  std::map<FlowKey, std::vector<TargetId>> Reached;
+  std::map<FlowKey, std::vector<TargetId>> ReachedTargets;
   std::map<InstanceId, uint64_t> HeartbeatsSent;
 
   // --- cuts between instances and targets
-  std::map<InstanceId, std::set<TargetId>> Unreachable;
+  std::map<InstanceId, std::set<TargetId>> UnreachableTargets;
   /// A target sends a packet of a flow that it holds.
-  void feed(TargetId from, const FlowKey &flow) {
+  void sendFromTarget(TargetId from, const FlowKey &flow) {
     fromTarget(from, {.Kind = PacketKind::Data, .Flow = flow});
   }
 
   // --- chances
-  Duration DelayMost = std::chrono::milliseconds(3);
-  double Duplicate = 0;
-  Duration WorkLeast = std::chrono::milliseconds(20);
-  Duration WorkMost = std::chrono::milliseconds(60);
+  Duration MaxDelay = std::chrono::milliseconds(3);
+  double DuplicateProbability = 0;
+  Duration MinWork = std::chrono::milliseconds(20);
+  Duration MaxWork = std::chrono::milliseconds(60);
 
 private:
   struct Node {
-    std::unique_ptr<Core> Decisions;
+    std::unique_ptr<Core> CoreUnderTest;
     bool Paused = false;
     bool SafeToStop = false;
-    std::vector<Event> Held;
+    std::vector<Event> PendingEvents;
   };
-  struct Item {
-    std::function<void()> What;
+  struct Task {
+    std::function<void()> Run;
   };
 
-  void at(Duration delay, std::function<void()> what);
+  void at(Duration delay, std::function<void()> run);
   void tick(InstanceId id);
   Duration delay();
   void deliver(InstanceId to, Event event);
   void handle(InstanceId to, const Event &event);
-  void carryOut(InstanceId from, const Action &action);
-  bool cutBetween(InstanceId one, InstanceId other) const;
-  void spray(const PacketInFlight &packet);
+  void perform(InstanceId from, const Action &action);
+  bool isPartitioned(InstanceId one, InstanceId other) const;
+  void sendToRandomInstances(const PacketInFlight &packet);
   void send(PacketKind kind, const FlowKey &flow);
   void toTarget(TargetId id, const Packet &packet, InstanceId from);
   void fromTarget(TargetId id, Packet packet);
@@ -137,8 +139,8 @@
   Time Now{std::chrono::seconds(1000)};
   uint32_t NextId = 1;
   std::map<InstanceId, Node> Nodes;
-  std::set<InstanceId> Inside;
-  std::multimap<Time, Item> Queue;
+  std::set<InstanceId> PartitionSide;
+  std::multimap<Time, Task> Queue;
   CompiledRulesPtr Rules;
   MembersDocument Members;
 };
--- a/tests/FlowTableTest.cpp
+++ b/tests/FlowTableTest.cpp
@@ -14,7 +14,7 @@
 class FlowTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FlowTableTest);
   CPPUNIT_TEST(refusesWhenFull);
-  CPPUNIT_TEST(staysWithinItsMemory);
+  CPPUNIT_TEST(usesAtMost64BytesPerFlow);
   CPPUNIT_TEST(behavesLikeAMap);
   CPPUNIT_TEST(sweepsEveryPin);
   CPPUNIT_TEST_SUITE_END();
@@ -28,7 +28,7 @@
     expectTrue(table.insert(flow(3)) != nullptr, "there is room again");
   }
 
-  void staysWithinItsMemory() {
+  void usesAtMost64BytesPerFlow() {
     constexpr size_t Flows = 100'000;
     FlowTable table(Flows);
     size_t perFlow = table.memoryBytes() / Flows;
--- a/tests/MembershipTest.cpp
+++ b/tests/MembershipTest.cpp
@@ -28,16 +28,16 @@
 
 class MembershipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MembershipTest);
-  CPPUNIT_TEST(takesTheListAsAHintOnly);
-  CPPUNIT_TEST(dropsSilentAndRefusedPeers);
-  CPPUNIT_TEST(doesNotBlamePeersForItsOwnPause);
-  CPPUNIT_TEST(keepsLeavingPeersForQuestions);
+  CPPUNIT_TEST(listedPeersBecomeHomesWithTheirFirstHeartbeat);
+  CPPUNIT_TEST(removesUnreachablePeersFromTheHomes);
+  CPPUNIT_TEST(keepsPeersReachableAfterItsOwnPause);
+  CPPUNIT_TEST(keepsLeavingPeersForQueries);
   CPPUNIT_TEST(ignoresOldHeartbeats);
-  CPPUNIT_TEST(confirmsSilenceThroughOthers);
-  CPPUNIT_TEST(remembersWhenItSent);
+  CPPUNIT_TEST(confirmsUnreachabilityThroughOthers);
+  CPPUNIT_TEST(recordsWhenHeartbeatsWereSent);
   CPPUNIT_TEST_SUITE_END();
 
-  void takesTheListAsAHintOnly() {
+  void listedPeersBecomeHomesWithTheirFirstHeartbeat() {
     Membership members(info(1), 1, {});
     members.setState(InstanceState::Live);
     members.addPeer(info(2), Start);
@@ -46,7 +46,7 @@
     expectEqual<size_t>(2, members.homes().size());
   }
 
-  void dropsSilentAndRefusedPeers() {
+  void removesUnreachablePeersFromTheHomes() {
     Membership members(info(1), 1, {.SuspectAfter = 1s});
     members.recordHeartbeat(from(2, 1), Start);
     members.recordHeartbeat(from(3, 1), Start);
@@ -70,7 +70,7 @@
   // Symptom: an instance that was suspended resets flows when it wakes.
   // Sequence: it is paused for longer than the suspicion time.
   // Cause: it takes everyone for dead and itself for everyone's home.
-  void doesNotBlamePeersForItsOwnPause() {
+  void keepsPeersReachableAfterItsOwnPause() {
     Membership members(info(1), 1, {.SuspectAfter = 1s});
     members.recordHeartbeat(from(2, 1), Start);
     members.update(Start + 10ms);
@@ -78,7 +78,7 @@
     expectEqual<size_t>(1, members.homes().size());
   }
 
-  void keepsLeavingPeersForQuestions() {
+  void keepsLeavingPeersForQueries() {
     Membership members(info(1), 1, {});
     members.recordHeartbeat(from(2, 1, InstanceState::Leaving), Start);
     expectEqual<size_t>(0, members.homes().size());
@@ -98,7 +98,7 @@
                "one without addresses from a peer that is not known");
   }
 
-  void confirmsSilenceThroughOthers() {
+  void confirmsUnreachabilityThroughOthers() {
     Membership members(info(1), 1, {.SuspectAfter = 1s});
     members.recordHeartbeat(from(3, 1), Start);
     Heartbeat other = from(2, 1);
@@ -113,7 +113,7 @@
                "nobody does");
   }
 
-  void remembersWhenItSent() {
+  void recordsWhenHeartbeatsWereSent() {
     Membership members(info(1), 1, {});
     Heartbeat first = members.nextHeartbeat(Start);
     Heartbeat second = members.nextHeartbeat(Start + 1s);
--- a/tests/RulesTest.cpp
+++ b/tests/RulesTest.cpp
@@ -8,13 +8,13 @@
 
 class RulesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RulesTest);
-  CPPUNIT_TEST(versionsOnlyRise);
-  CPPUNIT_TEST(remembersWhereFlowsMayHaveGone);
-  CPPUNIT_TEST(remembersTargetsThatAreGone);
-  CPPUNIT_TEST(forgetsWhatIsTooOld);
+  CPPUNIT_TEST(appliesOnlyNewerVersions);
+  CPPUNIT_TEST(listsEveryServiceOfAFlow);
+  CPPUNIT_TEST(keepsRemovedTargets);
+  CPPUNIT_TEST(dropsVersionsBeyondItsDepth);
   CPPUNIT_TEST_SUITE_END();
 
-  void versionsOnlyRise() {
+  void appliesOnlyNewerVersions() {
     RuleHistory history(4);
     expectTrue(history.learn(samples::compiled(samples::ruleSet(2))), "first");
     expectTrue(!history.learn(samples::compiled(samples::ruleSet(2))), "same");
@@ -23,7 +23,7 @@
     expectEqual<uint64_t>(2, history.version().Value);
   }
 
-  void remembersWhereFlowsMayHaveGone() {
+  void listsEveryServiceOfAFlow() {
     RuleHistory history(4);
     RuleSet first = samples::ruleSet(1);
     RuleSet second = samples::ruleSet(2);
@@ -37,7 +37,7 @@
     expectTrue(services[1] == first.Services[0].Id, "then the one before");
   }
 
-  void remembersTargetsThatAreGone() {
+  void keepsRemovedTargets() {
     RuleHistory history(4);
     history.learn(samples::compiled(samples::ruleSet(1)));
     RuleSet fewer = samples::ruleSet(2);
@@ -51,7 +51,7 @@
                "none for a stranger");
   }
 
-  void forgetsWhatIsTooOld() {
+  void dropsVersionsBeyondItsDepth() {
     RuleHistory history(3);
     RuleSet first = samples::ruleSet(1);
     first.Services[0].Targets.push_back({.Id = samples::target(40)});
