--- a/bench/EdgeBench.cpp
+++ b/bench/EdgeBench.cpp
@@ -1,12 +1,12 @@
 // Slopes of the edge: what a packet, an opening, a change of news and a push
 // cost, and how that grows. docs/CAPACITY.md is worked out from them.
 //
-//   build/bench-edge          all figures
-//   build/bench-edge 20000    news of that many servers, with its memory
+// build/bench-edge all figures
+// build/bench-edge 20000 news of that many servers, with its memory
 
 #include "platform/StoreDialect.h"
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 #include "chicorybank/token/Core.h"
 
 #include <chrono>
@@ -74,7 +74,7 @@
     learned.Present.push_back(server(id));
   core.handle(learned, now, actions);
   core.handle(token::BackendsComplete{}, now, actions);
-  core.handle(token::NewsChecked{.CurrentAt = now}, now, actions);
+  core.handle(token::FreshnessUpdated{.CurrentAt = now}, now, actions);
   return core;
 }
 
@@ -87,7 +87,7 @@
            actions.clear();
            token::FlowPacket head = packet(n);
            head.Open = true;
-           core.handle(token::PacketSeen{.Head = head, .Raw = raw}, now,
+           core.handle(token::PacketReceived{.Head = head, .Raw = raw}, now,
                        actions);
          }));
 }
@@ -102,7 +102,7 @@
     actions.clear();
     token::FlowPacket head = packet(n % flows);
     head.Echo = token::tokenOf(token::BackendId{1 + n % flows % 20});
-    core.handle(token::PacketSeen{.Head = head, .Raw = raw}, now, actions);
+    core.handle(token::PacketReceived{.Head = head, .Raw = raw}, now, actions);
   };
   nanoseconds(flows, carry);
   report("flow_bytes, by flows", flows,
@@ -132,16 +132,16 @@
 
 void measureNews(size_t servers) {
   platform::StoreDialect dialect;
-  std::string body = dialect.writePage(registrations(servers));
+  std::string body = dialect.serializePage(registrations(servers));
   Findings findings;
   double before = residentBytes();
-  edge::Mirror copy(dialect);
+  edge::RegistryCache copy(dialect);
   double whole = nanoseconds(
-      1, [&](size_t) { copy.replaceAll(*dialect.readPage(body), findings); });
+      1, [&](size_t) { copy.replaceAll(*dialect.parsePage(body), findings); });
   report("list_us, by servers", servers, whole / 1000);
   report("item_bytes, by servers", servers,
          (residentBytes() - before) / static_cast<double>(servers));
-  edge::NewsPush push{.Base = {.Revision = 1}};
+  edge::UpdatePush push{.Base = {.Revision = 1}};
   push.Page.Items.assign(3, registrations(1).Items[0]);
   std::string bytes = edge::encodePush(push);
   report("push_bytes, 3 changes", servers, static_cast<double>(bytes.size()));
--- a/lib/edge/Announcer.cpp
+++ b/lib/edge/InstanceRegistrar.cpp
@@ -1,4 +1,4 @@
-#include "chicorybank/edge/Announcer.h"
+#include "chicorybank/edge/InstanceRegistrar.h"
 
 #include "Http.h"
 
@@ -6,7 +6,7 @@
 
 namespace chicory::edge {
 
-std::optional<RegistryCall> Announcer::next(Time now) {
+std::optional<RegistryCall> InstanceRegistrar::next(Time now) {
   if (Waiting || now < DueAt)
     return std::nullopt;
   Waiting = true;
@@ -19,18 +19,18 @@
   }
   switch (State) {
   case Phase::Looking:
-    return Dialect.readRecord(Self.Id, LookUp);
+    return Dialect.readInstanceRecord(Self.Id, LookUp);
   case Phase::Leasing:
-    return Dialect.createLease(Times.LeaseLife);
+    return Dialect.createLease(Times.LeaseDuration);
   case Phase::Writing:
-    return Dialect.announce(Self, Lease);
+    return Dialect.writeInstanceRecord(Self, Lease);
   case Phase::Renewing:
     break;
   }
   return Dialect.renewLease(Lease);
 }
 
-void Announcer::answered(const NewsAnswer &answer, Time now) {
+void InstanceRegistrar::answered(const RegistryAnswer &answer, Time now) {
   Waiting = false;
   DueAt = now + Times.RetryAfter;
   bool known = answer.Status == HttpOk || answer.Status == HttpNotFound;
@@ -50,7 +50,7 @@
   case Phase::Looking:
     break;
   case Phase::Leasing: {
-    auto lease = Dialect.readLease(answer.Body);
+    auto lease = Dialect.parseLease(answer.Body);
     if (!lease)
       return;
     Lease = *lease;
@@ -74,27 +74,27 @@
   case Phase::Renewing:
     break;
   }
-  DueAt = now + Times.RenewEvery;
+  DueAt = now + Times.RenewInterval;
 }
 
-void Announcer::takeFormer(const NewsAnswer &answer) {
+void InstanceRegistrar::takeFormer(const RegistryAnswer &answer) {
   State = Phase::Leasing;
   if (answer.Status != HttpOk)
     return;
-  auto item = Dialect.readItem(answer.Body);
+  auto item = Dialect.parseItem(answer.Body);
   if (!item || item->Lease == 0)
     return;
   Findings ignored;
-  News news = Dialect.translate(*item, ignored);
+  ItemContent news = Dialect.translate(*item, ignored);
   const auto *record = std::get_if<PeerRecord>(&news);
   Lease = item->Lease;
   LeaseGeneration = answer.Generation;
   State = record && *record == Self ? Phase::Renewing : Phase::Writing;
 }
 
-void Announcer::seen(const PeerRecord *own, Time asOf) {
+void InstanceRegistrar::checkRecord(const PeerRecord *own, Time asOf) {
   if (Waiting || State != Phase::Renewing || (own && *own == Self) ||
-      asOf - WrittenAt < Times.SeenWithin)
+      asOf - WrittenAt < Times.VisibleWithin)
     return;
   // A record that is not as it was written is the former process's: a late
   // write of it, or one that was read from an old copy.
@@ -102,14 +102,14 @@
   DueAt = asOf;
 }
 
-std::optional<RegistryCall> Announcer::end() {
+std::optional<RegistryCall> InstanceRegistrar::leave() {
   Waiting = true;
   if (State == Phase::Leasing || State == Phase::Looking || LookAgain)
     return std::nullopt;
   if (State == Phase::Writing)
-    return Dialect.endLease(Lease);
+    return Dialect.revokeLease(Lease);
   Self.Leaving = true;
-  return Dialect.announce(Self, Lease);
+  return Dialect.writeInstanceRecord(Self, Lease);
 }
 
 } // namespace chicory::edge
--- a/lib/edge/NewsDuty.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -1,4 +1,4 @@
-#include "NewsDuty.h"
+#include "RegistrySync.h"
 
 #include <algorithm>
 #include <array>
@@ -19,48 +19,49 @@
 
 } // namespace
 
-NewsDuty::NewsDuty(Loop &loop, Log &log, const EdgeSettings &settings,
-                   const RegistryDialect &dialect, FileDescriptor socket,
-                   Shared &shared)
+RegistrySync::RegistrySync(EventLoop &loop, Log &log,
+                           const EdgeSettings &settings,
+                           const RegistryDialect &dialect,
+                           FileDescriptor socket, SharedState &shared)
     : Lines(log), Settings(settings), Dialect(dialect), Common(shared),
       Events(loop), Socket(std::move(socket)),
-      Reader(dialect, settings.News, settings.Core.Seed, settings.Zone),
+      Reader(dialect, settings.Watcher, settings.Core.Seed, settings.Zone),
       Spread({.Self = InstanceId{settings.Ip},
               .Zone = settings.Zone,
-              .Pace = settings.News.Pace,
+              .PollInterval = settings.Watcher.PollInterval,
               .ApplyWithin = settings.Core.ApplyWithin,
-              .RetryMost = settings.News.RetryMost,
+              .RetryMax = settings.Watcher.RetryMax,
               .Seed = settings.Core.Seed}),
-      Records(loop, log, settings, dialect, Reader.mirror()),
+      Records(loop, log, settings, dialect, Reader.cache()),
       Registry(loop, settings.Ip, settings.Registry, dialect),
-      Pages(loop, settings.Ip, Reader.mirror()),
+      Pages(loop, settings.Ip, Reader.cache()),
       Others(InstanceId{settings.Ip}, settings.Zone) {
-  Reader.setPatience(Spread.patience(), Spread.retryMost());
+  Reader.setStalenessLimit(Spread.stalenessLimit(), Spread.retryMax());
   Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { readPushes(); });
 }
 
-void NewsDuty::run(Time now) {
+void RegistrySync::run(Time now) {
   Registry.expire(now);
   Pages.expire(now);
   passNews();
   shareDoubts(now);
   learnRecord(now);
-  Reader.heard(Records.takeTold(), now);
-  if (Reader.told())
-    Records.learnGeneration(Reader.told());
+  Reader.observeGeneration(Records.takeNewGeneration(), now);
+  if (Reader.latestGeneration())
+    Records.learnGeneration(Reader.latestGeneration());
   if (!Leaving) {
     callRegistry(now);
     noteRegistry(now);
   }
   if (Reader.started())
-    Records.run(mayWrite(), Spread.patience(), now);
+    Records.run(mayWrite(), Spread.stalenessLimit(), now);
   remindOthers(now);
 }
 
-Time NewsDuty::nextAt() const {
+Time RegistrySync::nextAt() const {
   Time out = std::min(Registry.deadline(), Pages.deadline());
   if (Reader.started())
-    out = std::min(out, Records.nextAt(mayWrite(), Spread.patience()));
+    out = std::min(out, Records.nextAt(mayWrite(), Spread.stalenessLimit()));
   if (mayRemind())
     out = std::min(out, Others.nextAt(Away));
   if (!Leaving && !Registry.busy())
@@ -68,10 +69,10 @@
   return out;
 }
 
-void NewsDuty::callRegistry(Time now) {
+void RegistrySync::callRegistry(Time now) {
   if (Registry.busy())
     return;
-  std::optional<NewsCall> call = Reader.next(now);
+  std::optional<TimedCall> call = Reader.next(now);
   if (!call)
     return;
   CallKind kind = call->Call.Kind;
@@ -83,7 +84,7 @@
 }
 
 /// Where the time of a start goes: one line for each call until all is known.
-void NewsDuty::noteStart(CallKind kind, const HttpClient::Result &result) {
+void RegistrySync::noteStart(CallKind kind, const HttpClient::Result &result) {
   if (Reader.complete() || !result)
     return;
   using std::chrono::duration_cast;
@@ -95,29 +96,29 @@
                   .with("kind", callKindName(kind))
                   .with("status", result->Status)
                   .with("since_start_ms", ms(steadyNow() - StartedAt))
-                  .with("first_byte_ms", ms(result->FirstByteAfter))
-                  .with("took_ms", ms(result->Took))
+                  .with("first_byte_ms", ms(result->TimeToFirstByte))
+                  .with("took_ms", ms(result->TotalTime))
                   .with("bytes", static_cast<int64_t>(result->Body.size())));
 }
 
-RegistryCounts NewsDuty::calls() const {
-  RegistryCounts out = Registry.counts();
-  return out += Records.calls();
+RegistryCallCounts RegistrySync::callCounts() const {
+  RegistryCallCounts out = Registry.counts();
+  return out += Records.callCounts();
 }
 
 /// Comes after the news was passed on: callers who wait for the first news
 /// must not wait for this as well.
-void NewsDuty::learnRecord(Time now) {
+void RegistrySync::learnRecord(Time now) {
   if (!std::exchange(RoutesChanged, false))
     return;
-  Records.learn(Reader.mirror().routes(), Reader.routeRecords(), now);
+  Records.learnRoutes(Reader.cache().routes(), Reader.routeHistory(), now);
 }
 
-void NewsDuty::takeAnswer(const HttpClient::Result &result) {
+void RegistrySync::takeAnswer(const HttpClient::Result &result) {
   Time now = steadyNow();
   std::vector<token::Event> news;
-  Position before = Reader.mirror().position();
-  bool learned = Reader.answered(newsAnswer(result, Dialect), now, news);
+  Position before = Reader.cache().position();
+  bool learned = Reader.answered(toRegistryAnswer(result, Dialect), now, news);
   noteRestore(before, InstanceId{});
   tell(std::move(news), InstanceId{}, now);
   if (!result)
@@ -129,14 +130,14 @@
     return;
   // What came before the first list is nobody's change.
   if (PushedTo == Position{})
-    PushedTo = Reader.mirror().position();
+    PushedTo = Reader.cache().position();
   sendPush(true, now);
 }
 
 /// `copy_revision` above `revision`: what was read in between is lost in the
 /// registry. `held` items of it wait for being written again.
-void NewsDuty::noteRestore(const Position &before, InstanceId from) {
-  Position after = Reader.mirror().position();
+void RegistrySync::noteRestore(const Position &before, InstanceId from) {
+  Position after = Reader.cache().position();
   if (before == Position{} || before.Generation == after.Generation)
     return;
   Lines.write(
@@ -146,10 +147,11 @@
           .with("former", static_cast<int64_t>(before.Generation.Value))
           .with("copy_revision", before.Revision)
           .with("revision", after.Revision)
-          .with("held", static_cast<int64_t>(Reader.mirror().heldCount())));
+          .with("held", static_cast<int64_t>(Reader.cache().retainedCount())));
 }
 
-void NewsDuty::tell(std::vector<token::Event> news, InstanceId from, Time now) {
+void RegistrySync::tell(std::vector<token::Event> news, InstanceId from,
+                        Time now) {
   for (token::Event &it : news) {
     if (const auto *drain = std::get_if<token::ZoneDrainLearned>(&it))
       noteDrain(*drain, from);
@@ -164,46 +166,47 @@
   Findings findings = Reader.takeFindings();
   for (const Finding &it : findings.items())
     Lines.write(LogLine("bad_item").with("finding", it.text()));
-  if (Reader.peers() != Others.known())
+  if (Reader.peers() != Others.registered())
     takePeers(now);
-  auto own = Others.known().find(InstanceId{Settings.Ip});
-  Records.seen(own == Others.known().end() ? nullptr : &own->second,
-               Reader.currentAt());
-  Records.learnDirectory(Reader.directoryNote(), now);
+  auto own = Others.registered().find(InstanceId{Settings.Ip});
+  Records.learnOwnRecord(own == Others.registered().end() ? nullptr
+                                                          : &own->second,
+                         Reader.currentAt());
+  Records.learnDirectory(Reader.directorySummary(), now);
 }
 
 /// From whom an order came shows whether the registry was asked or a neighbour
 /// passed it on; when it is in force follows as `zone_drained`.
-void NewsDuty::noteDrain(const token::ZoneDrainLearned &drain,
-                         InstanceId from) {
+void RegistrySync::noteDrain(const token::ZoneDrainLearned &drain,
+                             InstanceId from) {
   Lines.write(LogLine("zone_drain_learned")
                   .with("zone", drain.Zone)
                   .with("active", drain.Active ? 1 : 0)
-                  .with("revision", Reader.mirror().position().Revision)
+                  .with("revision", Reader.cache().position().Revision)
                   .with("from", senderName(from)));
 }
 
-void NewsDuty::takePeers(Time now) {
+void RegistrySync::takePeers(Time now) {
   Others.learn(Reader.peers(), now);
   token::InstancesLearned instances;
-  for (const auto &[id, peer] : Others.known())
+  for (const auto &[id, peer] : Others.registered())
     if (!peer.Leaving)
       instances.Instances.push_back({.Id = id, .Zone = peer.Zone});
   Pending.emplace_back(std::move(instances));
   passNews();
-  Spread.learn(Others.placed(now));
-  Reader.setPatience(Spread.patience(), Spread.retryMost());
+  Spread.learn(Others.treeMembers(now));
+  Reader.setStalenessLimit(Spread.stalenessLimit(), Spread.retryMax());
 }
 
-void NewsDuty::passNews() {
+void RegistrySync::passNews() {
   if (Pending.empty())
     return;
-  while (!Pending.empty() && Common.News.try_enqueue(Pending.front()))
+  while (!Pending.empty() && Common.Updates.try_enqueue(Pending.front()))
     Pending.pop_front();
   Common.PacketWakeup.wake();
 }
 
-void NewsDuty::readPushes() {
+void RegistrySync::readPushes() {
   std::array<char, ReadBytes> buf;
   Time now = steadyNow();
   for (int n = 0; n < ReadsAtOnce; ++n) {
@@ -212,74 +215,75 @@
       return;
     auto message = decodeDatagram({buf.data(), static_cast<size_t>(size)});
     if (!message)
-      ++Traffic.Bad;
-    else if (auto *push = std::get_if<NewsPush>(&*message))
+      ++Traffic.Malformed;
+    else if (auto *push = std::get_if<UpdatePush>(&*message))
       takePush(*push, now);
-    else if (auto *doubt = std::get_if<Doubt>(&*message))
+    else if (auto *doubt = std::get_if<UnreachableReport>(&*message))
       takeDoubt(*doubt, now);
     else
       takeFragment(std::move(std::get<Fragment>(*message)), now);
   }
 }
 
-void NewsDuty::takeFragment(Fragment fragment, Time now) {
-  std::optional<std::string> bytes = Fragments.take(std::move(fragment));
+void RegistrySync::takeFragment(Fragment fragment, Time now) {
+  std::optional<std::string> bytes = Fragments.add(std::move(fragment));
   if (!bytes)
     return;
   auto push = decodeFragments(*bytes);
   if (push)
     takePush(*push, now);
   else
-    ++Traffic.Bad;
+    ++Traffic.Malformed;
 }
 
 /// A server that died is found by whoever had requests there. Told of it, the
 /// others find out before they lose requests of their own.
-void NewsDuty::shareDoubts(Time now) {
+void RegistrySync::shareDoubts(Time now) {
   token::BackendId id;
-  while (Common.Doubts.try_dequeue(id))
-    if (Doubts.isNew(id, now))
+  while (Common.UnreachableBackends.try_dequeue(id))
+    if (Doubts.shouldForward(id, now))
       sendDoubt(id, true);
 }
 
-void NewsDuty::takeDoubt(const Doubt &doubt, Time now) {
-  ++Traffic.Doubts;
-  if (!Doubts.isNew(doubt.Backend, now))
+void RegistrySync::takeDoubt(const UnreachableReport &doubt, Time now) {
+  ++Traffic.UnreachableReports;
+  if (!Doubts.shouldForward(doubt.Backend, now))
     return;
-  Pending.emplace_back(token::BackendDoubted{doubt.Backend});
+  Pending.emplace_back(token::BackendReportedUnreachable{doubt.Backend});
   passNews();
   sendDoubt(doubt.Backend, false);
 }
 
-void NewsDuty::sendDoubt(token::BackendId id, bool own) {
-  std::string bytes =
-      encodeDoubt({.Sender = InstanceId{Settings.Ip}, .Backend = id});
+void RegistrySync::sendDoubt(token::BackendId id, bool own) {
+  std::string bytes = encodeUnreachableReport(
+      {.Sender = InstanceId{Settings.Ip}, .Backend = id});
   for (Address it : Spread.targets(own))
     send(bytes, it);
 }
 
-void NewsDuty::takePush(const NewsPush &push, Time now) {
+void RegistrySync::takePush(const UpdatePush &push, Time now) {
   if (Reader.needsSeed(push))
     return pullSeed(push.Sender);
   Time before = Reader.currentAt();
   std::vector<token::Event> news;
-  bool behind = Reader.takePush(push, now < LateUntil, now, news);
+  bool behind = Reader.applyPush(push, now < LateUntil, now, news);
   tell(std::move(news), push.Sender, now);
   if (behind)
     return pull(push.Sender, !Reader.complete());
   // Half a pace newer than what was passed on last: worth a datagram to each.
-  bool newer = Reader.currentAt() - PushedAsOf >= Settings.News.Pace / 2 ||
-               Reader.mirror().position() > PushedTo;
+  bool newer =
+      Reader.currentAt() - PushedAsOf >= Settings.Watcher.PollInterval / 2 ||
+      Reader.cache().position() > PushedTo;
   if (Reader.currentAt() > before && newer)
     sendPush(false, now);
 }
 
-void NewsDuty::sendPush(bool asked, Time now) {
+void RegistrySync::sendPush(bool asked, Time now) {
   if (!Reader.mayPassOn())
     return;
   std::vector<Address> targets = Spread.targets(asked);
-  NewsPush push = Reader.push(InstanceId{Settings.Ip}, PushedTo, now);
-  PushedTo = Reader.mirror().position();
+  UpdatePush push = Reader.makePush(InstanceId{Settings.Ip}, PushedTo, now);
+  PushedTo = Reader.cache().position();
   PushedAsOf = Reader.currentAt();
   if (targets.empty())
     return;
@@ -289,7 +293,7 @@
       send(bytes, it);
 }
 
-void NewsDuty::send(const std::string &bytes, Address target) {
+void RegistrySync::send(const std::string &bytes, Address target) {
   sockaddr_in to = toSockaddr(target);
   ssize_t n = ::sendto(Socket.get(), bytes.data(), bytes.size(), MSG_DONTWAIT,
                        reinterpret_cast<sockaddr *>(&to), sizeof(to));
@@ -298,102 +302,103 @@
     Traffic.Bytes += static_cast<uint64_t>(n);
 }
 
-void NewsDuty::pull(InstanceId from, bool whole) {
+void RegistrySync::pull(InstanceId from, bool whole) {
   if (Pages.busy())
     return;
   std::optional<Position> since;
   if (!whole)
-    since = Reader.mirror().position();
+    since = Reader.cache().position();
   Pages.read(from, addressOf(from), since,
-             [this](const PageRead &page) { takePulled(page); });
+             [this](const PageResult &page) { takePulled(page); });
 }
 
 /// All instances use one port, also where no record says so yet.
-Address NewsDuty::addressOf(InstanceId id) const {
-  auto it = Others.known().find(id);
-  return it == Others.known().end()
+Address RegistrySync::addressOf(InstanceId id) const {
+  auto it = Others.registered().find(id);
+  return it == Others.registered().end()
              ? Address{.Ip = id.Value, .Port = Settings.Peers.Port}
-             : it->second.Peers;
+             : it->second.PeerAddress;
 }
 
-void NewsDuty::remindOthers(Time now) {
+void RegistrySync::remindOthers(Time now) {
   if (!mayRemind())
     return;
-  std::vector<Address> targets = Others.due(Away, now);
+  std::vector<Address> targets = Others.dueRegistered(Away, now);
   std::vector<Address> former = Others.dueFormer(Away, now);
   targets.insert(targets.end(), former.begin(), former.end());
   if (targets.empty())
     return;
   // Whoever lacks something reads it from here.
-  NewsPush push =
-      Reader.push(InstanceId{Settings.Ip}, Reader.mirror().position(), now);
+  UpdatePush push =
+      Reader.makePush(InstanceId{Settings.Ip}, Reader.cache().position(), now);
   std::string bytes = encodePush(push);
   for (Address it : targets)
     send(bytes, it);
 }
 
-bool NewsDuty::mayRemind() const {
-  return Settings.Core.Use.Reminders && Reader.knowsAll() && Reader.mayPassOn();
+bool RegistrySync::mayRemind() const {
+  return Settings.Core.Enabled.OutageGossip && Reader.hasAllItems() &&
+         Reader.mayPassOn();
 }
 
-void NewsDuty::pullSeed(InstanceId from) {
+void RegistrySync::pullSeed(InstanceId from) {
   if (Pages.busy())
     return;
   Pages.read(from, addressOf(from), std::nullopt,
-             [this](const PageRead &page) { takeSeed(page); });
+             [this](const PageResult &page) { takeSeed(page); });
 }
 
-void NewsDuty::takeSeed(const PageRead &read) {
+void RegistrySync::takeSeed(const PageResult &read) {
   LogLine line("news_from_peer");
-  line.with("peer", formatIp(read.From.Value));
+  line.with("peer", formatIp(read.Peer.Value));
   if (!read.Page)
-    return Lines.write(line.with("why", read.Why));
+    return Lines.write(line.with("why", read.Error));
   std::vector<token::Event> news;
-  Reader.takeSeed(*read.Page, news);
+  Reader.applySeed(*read.Page, news);
   Lines.write(line.with("revision", read.Page->At.Revision));
-  tell(std::move(news), read.From, steadyNow());
+  tell(std::move(news), read.Peer, steadyNow());
 }
 
-void NewsDuty::takePulled(const PageRead &read) {
-  if (read.Gone && !read.Whole)
-    return pull(read.From, true);
+void RegistrySync::takePulled(const PageResult &read) {
+  if (read.HistoryTooShort && !read.Full)
+    return pull(read.Peer, true);
   if (!read.Page) {
     Reader.pullFailed();
     return Lines.write(LogLine("news_pull_failed")
-                           .with("peer", formatIp(read.From.Value))
-                           .with("why", read.Why));
+                           .with("peer", formatIp(read.Peer.Value))
+                           .with("why", read.Error));
   }
   Time now = steadyNow();
   std::vector<token::Event> news;
-  Position before = Reader.mirror().position();
-  Reader.takePull(*read.Page, read.Whole, now, news);
-  noteRestore(before, read.From);
-  tell(std::move(news), read.From, now);
+  Position before = Reader.cache().position();
+  Reader.applyPull(*read.Page, read.Full, now, news);
+  noteRestore(before, read.Peer);
+  tell(std::move(news), read.Peer, now);
   sendPush(false, now);
 }
 
-void NewsDuty::stoodStill(Time now) {
+void RegistrySync::handleSuspension(Time now) {
   // Long enough to read what waits in the socket.
   constexpr Duration Reading = std::chrono::milliseconds(100);
   LateUntil = now + Reading;
-  Reader.doubtAll(now);
+  Reader.revalidate(now);
 }
 
-void NewsDuty::noteRegistry(Time now) {
-  bool away = Reader.knowsAll() && Reader.away(now);
+void RegistrySync::noteRegistry(Time now) {
+  bool away = Reader.hasAllItems() && Reader.isStale(now);
   if (away == Away)
     return;
   Away = away;
   Lines.write(LogLine(away ? "news_stale" : "news_current")
-                  .with("revision", Reader.mirror().position().Revision));
+                  .with("revision", Reader.cache().position().Revision));
 }
 
-void NewsDuty::boundsChanged(const token::BoundsChanged &bounds) {
+void RegistrySync::updateBounds(const token::BoundsChanged &bounds) {
   Pending.emplace_back(bounds);
   passNews();
 }
 
-void NewsDuty::leave() {
+void RegistrySync::leave() {
   Leaving = true;
   // Nothing else is asked of the registry any more, so this shows best whether
   // it is away.
--- a/tests/fuzz/registry_item.cpp
+++ b/tests/fuzz/registry_item.cpp
@@ -20,14 +20,14 @@
                   .At = {.Revision = 5},
                   .Created = 4};
   Findings findings;
-  edge::News news = dialect.translate(item, findings);
+  edge::ItemContent news = dialect.translate(item, findings);
   if (const auto *server = std::get_if<token::Registration>(&news)) {
     require(findings.empty());
-    require(server->Slots > 0 && server->Born >= 0);
+    require(server->Slots > 0 && server->StartedAtMs >= 0);
   }
-  if (const auto *record = std::get_if<edge::RouteRecord>(&news)) {
-    (void)dialect.writeRouteRecords({*record});
-    require(record->Part < edge::RouteRecordParts);
+  if (const auto *record = std::get_if<edge::RouteHistoryPart>(&news)) {
+    (void)dialect.writeRouteHistory({*record});
+    require(record->Part < edge::MaxRouteHistoryParts);
   }
   return 0;
 }
