--- a/include/chicorybank/core/Core.h
+++ b/include/chicorybank/core/Core.h
@@ -4,6 +4,10 @@
 // has no clock, threads or global state. All randomness comes from the seed, so
 // the same events always give the same actions.
 //
+// Each flow has a home, the live instance that keeps its pin (the target that
+// its packets go to), and an owner, the only member that may send its requests
+// that are not idempotent. Both are computed by rendezvous hashing.
+//
 //   Core core({.Self = info, .Incarnation = 1}, Time{});
 //   Actions actions;
 //   core.handle(RulesLearned{rules}, now, actions);
--- a/lib/core/ControlPath.cpp
+++ b/lib/core/ControlPath.cpp
@@ -230,8 +230,8 @@
   bool due = now - *WantedSince >= proposalDelay() &&
              Shared.Ownership.isPreviousDocumentRetired(now);
   // The smaller side of a partition could remove the larger side from the
-  // document, without any use: it can't get the majority that ends the leases
-  // of the larger side's document.
+  // document but would gain nothing: it can't get the majority that ends the
+  // leases under the larger side's document.
   auto reachable = [&](InstanceId it) {
     return it == Shared.self() || Shared.Members.isReachable(it, now);
   };
--- a/lib/core/FlowPath.cpp
+++ b/lib/core/FlowPath.cpp
@@ -299,7 +299,7 @@
     Recoveries.erase(it);
 }
 
-bool FlowPath::expired(const FlowPin &pin, Time now, Actions &actions) {
+bool FlowPath::expireIfDue(const FlowPin &pin, Time now, Actions &actions) {
   const FlowOptions &options = Shared.Options.Flows;
   auto idleFor = std::chrono::seconds(
       seconds(now) - std::max(pin.LastFromCaller, pin.LastFromTarget));
@@ -329,7 +329,7 @@
 
 void FlowPath::tick(Time now, Actions &actions) {
   Flows.sweep(Flows.capacity() / SweepTicks + 1,
-              [&](const FlowPin &it) { return expired(it, now, actions); });
+              [&](const FlowPin &it) { return expireIfDue(it, now, actions); });
   for (auto it = Recoveries.begin(); it != Recoveries.end();) {
     // The calls below may erase the entry.
     auto current = it++;
--- a/lib/core/FlowPath.h
+++ b/lib/core/FlowPath.h
@@ -71,7 +71,7 @@
   void failRecovery(const FlowKey &flow, Time now, Actions &actions);
   bool handleRejection(const PacketInFlight &packet, Time now,
                        Actions &actions);
-  bool expired(const FlowPin &pin, Time now, Actions &actions);
+  bool expireIfDue(const FlowPin &pin, Time now, Actions &actions);
 
   CoreState &Shared;
   FlowTable Flows;
--- a/tests/CoreTest.cpp
+++ b/tests/CoreTest.cpp
@@ -377,7 +377,7 @@
   // Guards against feeds that are reset when an instance joins: the fabric
   // sends it packets of established flows before it knows any peer, and it
   // considers itself the home of these unknown flows.
-  // keepsFlowsThroughRandomEvents also finds this.
+  // keepsFlowsThroughRandomEvents covers this too.
   void dropsPacketsBeforeItKnowsAnyHome() {
     chicory::Core core({.Self = {.Id = InstanceId{9}}}, chicory::Time{1000s});
     chicory::Actions actions;
--- a/tests/MembershipTest.cpp
+++ b/tests/MembershipTest.cpp
@@ -93,8 +93,8 @@
     restarted.Incarnation = 2;
     expectTrue(members.recordHeartbeat(restarted, Start),
                "the first of a new process");
-    Heartbeat stranger{.Sender = {.Id = InstanceId{9}}, .Sequence = 1};
-    expectTrue(!members.recordHeartbeat(stranger, Start),
+    Heartbeat fromUnknown{.Sender = {.Id = InstanceId{9}}, .Sequence = 1};
+    expectTrue(!members.recordHeartbeat(fromUnknown, Start),
                "one without addresses from an unknown peer");
   }
 
--- a/tests/RequestPathTest.cpp
+++ b/tests/RequestPathTest.cpp
@@ -404,7 +404,8 @@
           for (Reason it : deployment.Outcomes[id].Reasons)
             why += std::string(chicory::reasonName(it)) + " ";
           expectTrue(false, "seed " + std::to_string(seed) + " request " +
-                                std::to_string(id) + " ran; told: " + why);
+                                std::to_string(id) +
+                                " ran without a whole answer; reasons: " + why);
         }
     }
   }
--- a/tests/TargetsTest.cpp
+++ b/tests/TargetsTest.cpp
@@ -157,13 +157,13 @@
     Targets targets(InstanceId{1}, 1, {});
     targets.learn(*rules, Start);
     Service fewer = rules->set().Services[0];
-    TargetId gone = fewer.Targets[4].Id;
+    TargetId removed = fewer.Targets[4].Id;
     fewer.Targets.erase(fewer.Targets.begin() + 4);
     for (uint64_t hash = 1; hash < 3000; ++hash) {
       TargetId before =
           *targets.chooseForFlow(rules->set().Services[0], hash, 1, Start);
       TargetId after = *targets.chooseForFlow(fewer, hash, 1, Start);
-      expectTrue(before == after || before == gone,
+      expectTrue(before == after || before == removed,
                  "only flows of the removed target move");
     }
   }
