--- a/lib/core/OwnershipTracker.cpp
+++ b/lib/core/OwnershipTracker.cpp
@@ -27,36 +27,36 @@
 bool OwnershipTracker::learn(const MembersDocument &document, Time now) {
   if (document.Version <= this->document().Version)
     return false;
-  // Nobody can have taken over under the next document but one before this
-  // instance announces this one, or a lease time has passed; so the lease that
-  // it holds now stays good for its rest, and no request meets a gap.
-  Inherited = std::min(leaseUntil(), now + Options.LeaseTime);
+  // Nobody can take over under the document after this one before this instance
+  // has announced this one or a lease time has passed. So the rest of the
+  // current lease stays valid, and no request is refused because of the change.
+  InheritedLeaseUntil = std::min(leaseUntil(), now + Options.LeaseTime);
   Transitions.push_back({.Document = document, .LearnedAt = now});
   if (Transitions.size() > TransitionsKept)
     Transitions.pop_front();
-  noteMovedOn(Transitions.back(), Self, now);
+  recordAcknowledgement(Transitions.back(), Self, now);
   for (const auto &[id, grant] : Grants)
     if (grant.Version >= document.Version)
-      noteMovedOn(Transitions.back(), id, now);
+      recordAcknowledgement(Transitions.back(), id, now);
   return true;
 }
 
-void OwnershipTracker::noteMovedOn(Transition &transition, InstanceId member,
-                                   Time now) {
+void OwnershipTracker::recordAcknowledgement(Transition &transition,
+                                             InstanceId member, Time now) {
   const std::vector<InstanceId> &previous = transition.Document.Previous;
   if (!contains(previous, member))
     return;
-  transition.MovedOn.try_emplace(member, now);
-  if (transition.MovedOn.size() >= majorityOf(previous) &&
-      !transition.MajorityMovedOn)
-    transition.MajorityMovedOn = now;
+  transition.AcknowledgedAt.try_emplace(member, now);
+  if (transition.AcknowledgedAt.size() >= majorityOf(previous) &&
+      !transition.MajorityAcknowledgedAt)
+    transition.MajorityAcknowledgedAt = now;
 }
 
 void OwnershipTracker::recordHeartbeat(InstanceId from, MembersVersion version,
                                        std::optional<Time> echoedAt, Time now) {
   for (Transition &it : Transitions)
     if (version >= it.Document.Version)
-      noteMovedOn(it, from, now);
+      recordAcknowledgement(it, from, now);
   Grant &grant = Grants[from];
   if (version > grant.Version)
     grant = {.Version = version, .Until = Time{}};
@@ -68,7 +68,7 @@
   const MembersDocument &doc = document();
   if (!contains(doc.Members, Self))
     return Time{};
-  // This instance's own word holds for as long as the others' does.
+  // This instance counts as one confirmation that never ends before the others.
   size_t needed = majorityOf(doc.Members) - 1;
   if (needed == 0)
     return Time::max();
@@ -77,21 +77,21 @@
     if (id != Self && grant.Version == doc.Version && contains(doc.Members, id))
       until.push_back(grant.Until);
   if (until.size() < needed)
-    return Inherited;
+    return InheritedLeaseUntil;
   std::sort(until.begin(), until.end(), std::greater<>());
-  return std::max(until[needed - 1], Inherited);
+  return std::max(until[needed - 1], InheritedLeaseUntil);
 }
 
 std::optional<Time> OwnershipTracker::handedOverAt(const Transition &transition,
                                                    InstanceId previousOwner,
                                                    Time now) const {
-  if (auto it = transition.MovedOn.find(previousOwner);
-      it != transition.MovedOn.end())
+  if (auto it = transition.AcknowledgedAt.find(previousOwner);
+      it != transition.AcknowledgedAt.end())
     return it->second;
-  if (!transition.MajorityMovedOn)
+  if (!transition.MajorityAcknowledgedAt)
     return std::nullopt;
-  Time retired =
-      *transition.MajorityMovedOn + Options.LeaseTime + Options.LeaseMargin;
+  Time retired = *transition.MajorityAcknowledgedAt + Options.LeaseTime +
+                 Options.LeaseMargin;
   return retired <= now ? std::optional(retired) : std::nullopt;
 }
 
@@ -102,8 +102,8 @@
       [&](InstanceId id) { return handedOverAt(last, id, now).has_value(); });
 }
 
-OwnershipView OwnershipTracker::tenure(uint64_t flowHash, size_t newest,
-                                       Time now) const {
+OwnershipView OwnershipTracker::ownershipUnder(uint64_t flowHash, size_t newest,
+                                               Time now) const {
   OwnershipView out{
       .Owner = Self, .HandOverComplete = true, .OwnedSince = StartedAt};
   // Walk back to the transition that moved the flow to this instance.
@@ -118,8 +118,9 @@
       out.OwnedSince = std::max(StartedAt, at.value_or(now));
       return out;
     }
-    // Documents were missed in between. Each was written only after the one
-    // before its predecessor was void, so all that was missed is void now.
+    // This instance missed documents in between. Each document is written only
+    // after all leases under its predecessor's predecessor have ended, so only
+    // leases under `Previous` can be left. The check above covers these.
     bool missed = it.Document.Version.Value != older.Version.Value + 1;
     if (missed && rendezvousFirst(flowHash, older.Members) != Self) {
       out.OwnedSince = std::max(StartedAt, it.LearnedAt);
@@ -135,7 +136,7 @@
   InstanceId owner = rendezvousFirst(flowHash, doc.Members);
   OwnershipView out{.Owner = owner};
   if (owner == Self)
-    out = tenure(flowHash, Transitions.size() - 1, now);
+    out = ownershipUnder(flowHash, Transitions.size() - 1, now);
   else
     out.PreviousOwner = rendezvousFirst(flowHash, doc.Previous);
   out.LeaseUntil = leaseUntil();
@@ -149,7 +150,7 @@
   for (size_t i = Transitions.size(); i-- > 0;) {
     const MembersDocument &it = Transitions[i].Document;
     if (rendezvousFirst(flowHash, it.Members) == Self)
-      return tenure(flowHash, i, now);
+      return ownershipUnder(flowHash, i, now);
   }
   return std::nullopt;
 }
