--- a/include/chicorybank/edge/Directory.h
+++ b/include/chicorybank/edge/Directory.h
@@ -1,16 +1,18 @@
-// A short form of all registrations, for instances that start.
+// A compact form of all registrations, for instances that start.
 //
-// What fails without: all instances start at once, after a loss of power, and
-// each reads everything: some 400 bytes of JSON for a registration, with those
-// of instances in front. The registry's link is full for half a second; one
-// sees `start_call kind=list` with a late first byte, packets dropped as
-// `not_current`, and callers who wait for their next copy. A registration
-// takes some 13 bytes here, so that what a start needs comes in one answer.
+// Without it, if all instances start at once after a power loss, each reads
+// some 400 bytes of JSON for each registration, with the records of all
+// instances first. The registry's link is full for half a second; the symptom
+// is `start_call kind=list` with a late first byte, packets dropped as
+// `not_current`, and callers that wait for their next retransmission. A
+// registration takes some 13 bytes here, so that one answer holds what a start
+// needs.
 //
-// It proves nothing. It may be seconds old, so it names servers that may have
-// ended and lacks some that have come; the first list sets that right, and no
-// server is taken for gone because of it. A packet to a server that has ended
-// carries that server's id, so it can't reach another.
+// The directory proves nothing. It may be seconds old, so it names servers that
+// may have ended and lacks some that have registered since; the first list
+// corrects that, and no server is treated as gone because of it. A packet to a
+// server that has ended carries that server's id, so it can't reach another
+// one.
 
 #ifndef CHICORYBANK_EDGE_DIRECTORY_H
 #define CHICORYBANK_EDGE_DIRECTORY_H
@@ -25,10 +27,11 @@
 
 namespace chicory::edge {
 
-/// A part of the directory.
+/// One part of the directory.
 struct Directory {
   std::vector<token::Registration> Servers;
-  /// The registered instances, all that read it if all start.
+  /// The number of registered instances: those that read the directory if all
+  /// of them start.
   size_t Instances = 0;
 
   bool operator==(const Directory &) const = default;
--- a/include/chicorybank/edge/Position.h
+++ b/include/chicorybank/edge/Position.h
@@ -1,9 +1,9 @@
-// Where in the registry's life something was written.
+// The position of a write in the registry's history.
 //
-// The registry may be restored from a copy that is some seconds old. What was
-// written since is lost, and its revisions are given out again for other
-// changes, so that a revision alone says neither what is newer nor what is the
-// same. Each restore begins a new generation.
+// The registry may be restored from a backup that is some seconds old. Writes
+// since the backup are lost, and their revisions are assigned again to other
+// changes. So a revision alone shows neither which of two items is newer nor
+// whether they are the same. Each restore begins a new generation.
 //
 //   Position before{.Generation = Generation{1}, .Revision = 60};
 //   Position after{.Generation = Generation{2}, .Revision = 45};
@@ -22,13 +22,13 @@
   uint64_t Value = 0;
 
   constexpr Generation() = default;
-  /// Explicit: a bare number is no generation, and no position either.
+  /// Explicit, since a bare number is neither a generation nor a position.
   constexpr explicit Generation(uint64_t value) : Value(value) {}
 
   auto operator<=>(const Generation &) const = default;
 };
 
-/// A revision, and the generation that gave it out.
+/// A revision, and the generation that assigned it.
 struct Position {
   edge::Generation Generation;
   int64_t Revision = 0;
--- a/include/chicorybank/edge/Registry.h
+++ b/include/chicorybank/edge/Registry.h
@@ -1,9 +1,9 @@
-// The registry as the edge sees it: a key-value service that holds the
-// operators' routes and the registrations of backend servers and instances.
+// The registry as an instance sees it: a key-value service that holds the
+// operator settings and the registrations of backend servers and instances.
 //
-// `RegistryDialect` is what a deployment's adapter implements. It translates
-// calls and answers and decides nothing; when to call, what to do about
-// outages and whom to believe is decided by `RegistryWatcher`.
+// `RegistryDialect` is the interface that a deployment's adapter implements. It
+// builds calls, parses answers and makes no decisions; `RegistryWatcher`
+// decides when to call, how to handle outages and which source to trust.
 
 #ifndef CHICORYBANK_EDGE_REGISTRY_H
 #define CHICORYBANK_EDGE_REGISTRY_H
@@ -23,26 +23,28 @@
 
 namespace chicory::edge {
 
-/// One key of the registry, as it was read.
+/// One key of the registry, as read.
 struct Item {
   std::string Key;
   std::string Value;
-  /// Where it was last written.
+  /// The position of its last write.
   Position At;
-  /// The revision at which the key came into being. It differs after a lapse
-  /// and a new registration, even where the value is the same. It may be of an
-  /// earlier generation than `At`, so it is compared for equality alone.
+  /// The revision at which the key was created. It differs after a registration
+  /// has expired and was made again, even if the value is the same. It may be
+  /// of an earlier generation than `At`, so compare it for equality only.
   int64_t Created = 0;
-  /// The key has ended; there is no value.
+  /// The key was deleted; there is no value.
   bool Deleted = false;
-  /// The lease that the key ends with; known where the item was read alone.
+  /// The lease that the key expires with; known only if the item was read on
+  /// its own.
   int64_t Lease = 0;
-  /// From a read that may be old, even from before a restore: its position may
-  /// be later than that of what holds now. Whatever is read otherwise is newer.
+  /// From a read that may be stale, even from before a restore: its position
+  /// may be later than that of the current item. An item from any other read is
+  /// newer.
   bool MayBeStale = false;
 
   bool operator==(const Item &) const = default;
-  /// Says more than what is known of the key.
+  /// Returns true if this item is newer than the known one of the same key.
   bool supersedes(const Item &known) const {
     return MayBeStale != known.MayBeStale ? known.MayBeStale : At > known.At;
   }
@@ -51,19 +53,19 @@
 /// The answer to a list or a watch.
 struct ItemPage {
   std::vector<Item> Items;
-  /// There are further items behind the last one (lists only).
+  /// More items follow the last one (lists only).
   bool More = false;
-  /// Where the registry stands: a watch goes on behind it.
+  /// The registry's position; a watch continues after it.
   Position At;
 
-  /// The page and its items were read in this generation. Answers of the
-  /// registry hold bare revisions; their header tells the generation.
+  /// Sets the generation of the page and its items. Answers of the registry
+  /// hold bare revisions; a header gives their generation.
   void setGeneration(Generation generation) {
     At.Generation = generation;
     for (Item &it : Items)
       it.At.Generation = generation;
   }
-  /// Its items are from a read that may be old.
+  /// Marks all items as coming from a read that may be stale.
   void markMayBeStale() {
     for (Item &it : Items)
       it.MayBeStale = true;
@@ -75,18 +77,18 @@
   token::BackendId Id;
 };
 
-/// A backend server's key holds something that can't be read.
+/// A backend server's key holds a value that can't be parsed.
 struct RegistrationUnreadable {
   token::BackendId Id;
 };
 
-/// Another instance of this deployment.
+/// The record of an instance of this deployment.
 struct PeerRecord {
   InstanceId Id;
   std::string Zone;
-  /// For messages between instances (UDP), and for news (HTTP).
+  /// For messages between instances (UDP) and for registry updates (HTTP).
   Address PeerAddress;
-  /// The instance is stopping as planned. It may be back within seconds.
+  /// The instance is stopping as planned and may be back within seconds.
   bool Leaving = false;
   /// The record has ended.
   bool Gone = false;
@@ -94,16 +96,16 @@
   bool operator==(const PeerRecord &) const = default;
 };
 
-/// The record of what routes lead to and have led to is kept in so many items
-/// at most: a change rewrites one of them, which is some 12 kB at 5,700
-/// addresses. A transaction has room for this many with their conditions.
+/// The maximum number of items that hold the history of route targets. A change
+/// rewrites one of them, about 12 kB at 5,700 addresses. One transaction has
+/// room for this many writes with their conditions.
 inline constexpr uint32_t RouteRecordParts = 16;
 
-/// One part of that record (`RouteLedger.h`).
+/// One part of that history (`RouteLedger.h`).
 struct RouteRecord {
   uint32_t Part = 0;
   std::vector<token::RoutePair> Pairs;
-  /// Where the item was written; revision zero where there is none.
+  /// Where the item was written; revision zero if there is none.
   Position At;
 
   bool operator==(const RouteRecord &) const = default;
@@ -112,22 +114,23 @@
 /// The parts that the registry holds, by number.
 using RouteRecords = std::map<uint32_t, RouteRecord>;
 
-/// Checksums by availability zone; zero for one that is not named.
+/// Checksums by availability zone; zero for a zone without an entry.
 using ZoneDigests = std::map<std::string, uint64_t>;
 
-/// Says what the directory holds (`Directory.h`). The directory itself is large
-/// and read by those that start alone. It has a part for each zone.
+/// Describes the contents of the directory (`Directory.h`). The directory
+/// itself is large, has a part for each zone, and is read only by instances
+/// that start.
 struct DirectorySummary {
-  /// Of the registrations that it lists; see
+  /// Checksums of the registrations that it lists; see
   /// `RegistryCache::registrationDigests`.
   ZoneDigests Digests;
-  /// Where the item was written; revision zero where there is none.
+  /// Where the item was written; revision zero if there is none.
   Position At;
 
   bool operator==(const DirectorySummary &) const = default;
 };
 
-/// The operators drain a zone for as long as its item stands.
+/// The operators drain a zone for as long as its item exists.
 struct ZoneDrain {
   std::string Zone;
   bool Active = true;
@@ -135,42 +138,43 @@
   bool operator==(const ZoneDrain &) const = default;
 };
 
-/// What one item says; `monostate` for items that don't concern an instance.
+/// The parsed content of an item; `monostate` if the item doesn't concern an
+/// instance.
 using ItemContent =
     std::variant<std::monostate, token::RouteSet, token::Registration,
                  RegistrationEnded, RegistrationUnreadable, PeerRecord,
                  RouteRecord, DirectorySummary, ZoneDrain>;
 
-/// What a call is for. Each costs the registry something of its own, so they
-/// are counted apart.
+/// The purpose of a call. The costs to the registry differ by kind, so calls
+/// are counted by kind.
 enum class CallKind : uint8_t {
-  List,                ///< A page of everything.
-  Watch,               ///< Changes behind a revision.
-  Lease,               ///< Creates or ends a lease.
+  List,                ///< Lists a page of all items.
+  Watch,               ///< Waits for changes after a revision.
+  Lease,               ///< Creates or revokes a lease.
   Renewal,             ///< Renews a lease.
   WriteInstanceRecord, ///< Writes this instance's record.
-  RouteRecord,         ///< Writes the record of routes.
+  RouteRecord,         ///< Writes the history of route targets.
   OperatorSettings,    ///< Reads what the operators have written, and nothing
                        ///< else.
   Directory,           ///< Reads the directory of registrations.
-  PastRoutes,          ///< Reads the record of routes alone.
+  PastRoutes,          ///< Reads the history of route targets alone.
   ReadInstanceRecord,  ///< Reads this instance's record.
   WriteDirectory,
 };
 inline constexpr size_t CallKindCount = 11;
-/// A word for metrics and logs.
+/// Returns the kind's name for metrics and logs.
 const char *callKindName(CallKind kind);
 
-/// How new a list has to be.
+/// How recent the answer to a list has to be.
 enum class Freshness : uint8_t {
   /// Holds everything that was written before the call.
   Current,
   /// May be seconds old, and costs the registry a tenth. It proves nothing
-  /// about what holds now.
+  /// about the present contents.
   MayBeStale,
 };
 
-/// A request to the registry, ready to be sent.
+/// A request to the registry, ready to send.
 struct RegistryCall {
   CallKind Kind = CallKind::List;
   std::string Method = "GET";
@@ -178,47 +182,48 @@
   std::string Body;
 };
 
-/// Translates between the edge and one kind of registry.
+/// Builds calls for one kind of registry and parses its answers.
 class RegistryDialect {
 public:
   virtual ~RegistryDialect() = default;
 
-  /// The header of all answers that tells the registry's generation.
+  /// Returns the name of the header that holds the registry's generation in all
+  /// answers.
   virtual std::string generationHeader() const = 0;
-  /// Reads that header; nothing where it can't be read.
+  /// Parses that header; returns nothing if it is malformed.
   virtual std::optional<Generation>
   parseGeneration(std::string_view text) const = 0;
 
-  /// Reads every item behind the key `after`; empty starts at the first.
+  /// Lists all items after the key `after`; an empty key starts at the first.
   virtual RegistryCall list(const std::string &after,
                             Freshness freshness) const = 0;
-  /// Reads what the operators have written, the configuration and the zones
-  /// that they drain, as it is now: a page of it, behind the key `after`.
+  /// Reads a page of what the operators have written, after the key `after`:
+  /// the configuration and the zones that they drain. The answer is current.
   virtual RegistryCall readOperatorSettings(const std::string &after) const = 0;
-  /// Reads the directory's part for a zone; it may be old.
+  /// Reads a zone's part of the directory; the answer may be stale.
   virtual RegistryCall readDirectory(const std::string &zone) const = 0;
-  /// Reads a page of all parts of the directory, behind the key `after`; they
-  /// may be old.
+  /// Reads a page of all parts of the directory, after the key `after`; the
+  /// answer may be stale.
   virtual RegistryCall readDirectories(const std::string &after) const = 0;
-  /// Reads the record of routes alone; it may be old.
+  /// Reads the history of route targets alone; the answer may be stale.
   virtual RegistryCall readRouteRecords() const = 0;
   /// Reads an instance's own record.
   virtual RegistryCall readInstanceRecord(InstanceId id,
                                           Freshness freshness) const = 0;
-  /// Reads the answer to a call that asks for one item.
+  /// Parses the answer to a call for one item.
   virtual tl::expected<Item, std::string>
   parseItem(const std::string &body) const = 0;
-  /// Waits up to `wait` for changes behind a revision of the generation in
-  /// which the registry is.
+  /// Waits up to `wait` for changes after a revision of the registry's present
+  /// generation.
   virtual RegistryCall watch(int64_t revision, Duration wait) const = 0;
-  /// Reads the answer of either; an error says what can't be read. Only pages
-  /// of other instances tell their generation.
+  /// Parses the answer to a list or a watch; an error says what can't be
+  /// parsed. Only pages of other instances contain their generation.
   virtual tl::expected<ItemPage, std::string>
   parsePage(const std::string &body) const = 0;
-  /// The inverse of `parsePage`, for passing news on to other instances.
+  /// The inverse of `parsePage`, for passing updates on to other instances.
   virtual std::string serializePage(const ItemPage &page) const = 0;
 
-  /// Creates a lease that ends `life` after its last renewal.
+  /// Creates a lease that expires `life` after its last renewal.
   virtual RegistryCall createLease(Duration life) const = 0;
   virtual tl::expected<int64_t, std::string>
   parseLease(const std::string &body) const = 0;
@@ -228,19 +233,20 @@
   virtual RegistryCall writeInstanceRecord(const PeerRecord &self,
                                            int64_t lease) const = 0;
 
-  /// Writes parts of the record of routes, each only where its item still has
-  /// the revision that is named; all of them or none.
+  /// Writes parts of the history of route targets in one transaction. It fails
+  /// unless each item still has the revision that its part names.
   virtual RegistryCall
   writeRouteRecords(const std::vector<RouteRecord> &records) const = 0;
 
-  /// Writes parts of the directory, by zone, and its note, where the note still
-  /// has the revision that is named; all or none.
+  /// Writes parts of the directory, by zone, and its summary in one
+  /// transaction. It fails unless the summary's item still has the revision
+  /// that the summary names.
   virtual RegistryCall
-  writeDirectory(const DirectorySummary &note,
+  writeDirectory(const DirectorySummary &summary,
                  const std::map<std::string, std::string> &parts) const = 0;
 
-  /// What an item says. Faults go to the findings with their place; what can
-  /// be read is returned all the same.
+  /// Parses an item's value. Errors go to the findings with their place;
+  /// whatever can be parsed is returned.
   virtual ItemContent translate(const Item &item, Findings &findings) const = 0;
 };
 
--- a/include/chicorybank/edge/RegistryCache.h
+++ b/include/chicorybank/edge/RegistryCache.h
@@ -1,13 +1,13 @@
-// A copy of the registry's items, and the recent changes to them.
+// A cache of the registry's items, and the recent changes to them.
 //
-// Instances pass news on to each other: whoever is behind gets the changes
-// since its revision, or everything where the history does not reach back.
-// Renewals that change nothing but a counter are left out.
+// Instances pass updates on to each other: an instance that is behind gets the
+// changes since its revision, or all items if the history does not reach back
+// that far. Renewals that change only a counter are left out.
 //
-// A registry that was restored from a copy lacks what was written since, and
-// whoever wrote it writes it again. Until then the items that it lacks are
-// held: they are believed as before, and stand for nothing in what is compared
-// with, or passed on to, other instances.
+// A registry that was restored from a backup lacks what was written since,
+// until the writers write it again. Until then the cache retains the items that
+// the registry lacks: it uses them as before, but neither compares them with
+// other instances nor passes them on.
 
 #ifndef CHICORYBANK_EDGE_REGISTRYCACHE_H
 #define CHICORYBANK_EDGE_REGISTRYCACHE_H
@@ -20,77 +20,79 @@
 
 namespace chicory::edge {
 
-/// An item that changed, and what it says.
+/// An item that changed, and its content.
 struct Change {
   Item Source;
   ItemContent Content;
 };
 
-/// Which of the items that a restored registry lacks. Servers write theirs
-/// again within a few heartbeats, instances with their next renewal, operators
-/// when they get to it.
+/// The kinds of items that are retained for a restored registry. Servers write
+/// theirs again within a few heartbeats, instances with their next renewal,
+/// operators in their own time.
 enum class RetainedItems : uint8_t {
   Registrations,
   Instances,
   OperatorSettings
 };
 
-/// The copy.
 class RegistryCache {
 public:
   explicit RegistryCache(const RegistryDialect &dialect) : Dialect(dialect) {}
 
-  /// Takes changes that lead to a revision. Items that are older than what is
-  /// known are ignored, whichever way they came. Returns those that matter.
+  /// Applies changes that lead to a revision, and returns those that matter.
+  /// Items older than the cached ones are ignored, whatever their source.
   std::vector<Change> apply(const ItemPage &page, Findings &findings);
-  /// Takes everything there is as of a revision; what is missing has ended.
+  /// Replaces the contents by all items as of a revision; items that are
+  /// missing have ended.
   std::vector<Change> replaceAll(const ItemPage &page, Findings &findings);
 
-  /// Takes a page of the first list before the rest of it is there. Returns
-  /// what it tells; `replaceAll` has to follow with the whole list.
+  /// Applies a page of the first list before the rest of it arrives, and
+  /// returns its changes; `replaceAll` has to follow with the whole list.
   std::vector<Change> applyPartial(const ItemPage &page, Findings &findings);
 
-  /// Takes everything that the operators have written, before the first list.
-  /// That list may be older: an order that it has and these lack has ended.
+  /// Applies all operator settings before the first list. That list may be
+  /// older: a setting that it has and these lack has ended.
   std::vector<Change> applyOperatorSettings(const ItemPage &page,
                                             Findings &findings);
 
-  /// The history has no gap behind a position.
+  /// Returns true if the history has no gap after a position.
   bool hasHistorySince(Position position) const {
     return position >= HistoryFrom && At != Position{};
   }
-  /// The changes behind a position; nothing if the history has a gap there.
+  /// Returns the changes after a position; nothing if the history has a gap
+  /// there.
   std::optional<ItemPage> changesSince(Position position) const;
-  /// All items but those that are held.
+  /// Returns all items but the retained ones.
   ItemPage snapshot() const;
-  /// The newest routes, or null.
+  /// Returns the newest routes, or null.
   const token::RouteSet *routes() const;
   Position position() const { return At; }
-  /// So many items are held.
-  size_t retainedCount() const { return HeldCount; }
-  /// The time for writing such items again is over: what is still held has
-  /// ended. Returns that.
+  size_t retainedCount() const { return RetainedCount; }
+  /// Ends the items of a kind that are still retained when the time for writing
+  /// them again is over, and returns these changes.
   std::vector<Change> expireRetained(RetainedItems kind, Findings &findings);
-  /// What was read is not of the registry's present history, as it turned out.
-  /// It is believed until the whole list that has to follow.
+  /// Forgets the positions of all items, once they turn out not to be of the
+  /// registry's present history. The items stay in use until the whole list
+  /// that has to follow.
   void forgetPositions();
-  /// A checksum of what the items mean. Two copies at one revision that differ
-  /// in it differ in an item: one of them missed a change.
+  /// Returns a checksum of the items' content. If two caches at one revision
+  /// differ in it, one of them missed a change.
   uint64_t digest() const { return Digest; }
-  /// Checksums of the registrations of backend servers alone, by their zone.
+  /// Returns checksums of the registrations of backend servers, by zone.
   ZoneDigests registrationDigests() const;
   size_t registrationCount() const;
-  /// The records of instances, but those that are held.
+  /// Returns the number of instances' records, without retained ones.
   size_t instanceCount() const { return InstanceCount; }
   size_t registrationCount(const std::string &zone) const;
-  /// All registrations of backend servers that can be read, but those that are
-  /// held; or those of a zone.
+  /// Returns all registrations of backend servers that can be parsed, without
+  /// retained ones; or those of one zone.
   std::vector<token::Registration>
   registrations(std::optional<std::string_view> zone = std::nullopt) const;
-  /// Another copy has this checksum at a later revision. Where it is ours as
-  /// well, nothing that matters has changed in between, so that this copy is
-  /// as of that revision. False: they differ, or are of two generations, in
-  /// which equal items may have been written at different revisions.
+  /// Advances to a later revision at which another cache has the given
+  /// checksum, if this cache has it as well: then nothing that matters has
+  /// changed in between. Returns false if the checksums differ, or if the
+  /// positions are of two generations, in which equal items may have been
+  /// written at different revisions.
   bool advanceIfEqual(Position position, uint64_t digest);
 
 private:
@@ -98,32 +100,32 @@
     Item Source;
     ItemContent Content;
     uint64_t Digest = 0;
-    bool Held = false;
+    bool Retained = false;
   };
-  /// A change and the position of the page that brought it. That may be later
+  /// A change, and the position of the page that brought it. That may be later
   /// than the item's own: a list finds changes that a watch has missed. The
-  /// value stands in `Items`, unless the key has ended.
-  struct Past {
+  /// value is in `Items`, unless the key has ended.
+  struct HistoryEntry {
     std::string Key;
     Position LearnedAt;
     Position EndedAt;
   };
-  /// Of the registrations of a zone.
+  /// The checksum and number of a zone's registrations.
   struct ZoneDigest {
     uint64_t Digest = 0;
     size_t Count = 0;
   };
-  void take(const Item &item, const ItemPage &page, Findings &findings,
-            std::vector<Change> &out);
-  /// Takes an entry into the checksums, or out of them.
-  void include(const Entry &entry);
-  void exclude(const Entry &entry);
-  void hold(Entry &entry);
-  void note(const Item &item, Position learnedAt);
-  Item passedOn(Item item) const;
+  void applyItem(const Item &item, const ItemPage &page, Findings &findings,
+                 std::vector<Change> &out);
+  /// Adds an entry to the checksums and counts, or removes it.
+  void addToTotals(const Entry &entry);
+  void removeFromTotals(const Entry &entry);
+  void retain(Entry &entry);
+  void addToHistory(const Item &item, Position learnedAt);
+  Item asPassedOn(Item item) const;
   size_t historyLimit() const;
-  bool alreadyRefused(const Item &item) const;
-  void noteRefused(const Item &item);
+  bool alreadyReported(const Item &item) const;
+  void recordReported(const Item &item);
   bool endedAfter(const Item &item) const;
   bool mayHaveEnded(const Item &item, const ItemPage &page) const;
 
@@ -131,20 +133,20 @@
   Position At;
   /// Changes up to this position are no longer in `History`.
   Position HistoryFrom;
-  /// The position of the generation's first whole page.
-  Position WholeFrom;
+  /// The position of the generation's first whole list.
+  Position FirstListAt;
   std::map<std::string, Entry> Items;
-  /// All orders of the operators that stood at this position are known.
+  /// All operator settings as of this position are known.
   Position OperatorSettingsAsOf;
-  /// The key that holds the routes; empty while none does.
+  /// The key that holds the routes; empty if none does.
   std::string RoutesKey;
-  std::deque<Past> History;
-  /// Unreadable items, and the position of which that was told.
-  std::map<std::string, Position> Refused;
+  std::deque<HistoryEntry> History;
+  /// Items that can't be parsed, and the position at which each was reported.
+  std::map<std::string, Position> Unparseable;
   uint64_t Digest = 0;
   std::map<std::string, ZoneDigest> ByZone;
   size_t InstanceCount = 0;
-  size_t HeldCount = 0;
+  size_t RetainedCount = 0;
 };
 
 } // namespace chicory::edge
--- a/include/chicorybank/edge/RegistryWatcher.h
+++ b/include/chicorybank/edge/RegistryWatcher.h
@@ -1,31 +1,33 @@
-// Keeps an instance's copy of the registry current.
+// Keeps an instance's cache of the registry current.
 //
-// It reads what a start needs (`StartupReads.h`), then lists everything once;
-// after that one instance of the deployment watches
-// and pushes what it hears, and the others ask only when their news grows older
-// than their patience (`NewsSpread.h`). Each answer shows that the news is
-// current as of some moment; silence shows nothing:
+// It reads what a start needs (`StartupReads.h`), then lists everything once.
+// After that one instance of the deployment watches the registry and pushes the
+// updates to the others, which call the registry only when their cache exceeds
+// its staleness limit (`PropagationTree.h`). Each answer proves that the cache
+// is current as of some moment; silence proves nothing:
 //
-// - an answer without changes shows that there were none, but only if the
-//   registry's revision is still the copy's; a later one means that the watch
-//   has skipped changes, and everything is listed again;
-// - the end of a registration is told once, so everything is listed now and
-//   then all the same, a page between two watches: a large list in one go would
-//   hold up the news of all instances for seconds;
-// - a connection that went silent ends by its time limit;
-// - the first list may be old, where a directory was there to start with: it
-//   costs a tenth, and shows nothing. A current list, or a push with the same
-//   checksum, has to follow before the news counts as current and is passed
-//   on. While that list waits for its time, everything is read from the first
-//   instance that tells of itself, so that few lists serve all that start;
-// - the registry may be restored from an older copy (`Position.h`). Its answers
-//   tell the generation. What they tell in a later one than the copy's is taken
-//   from a whole list alone, whose pages are all of one generation. A list that
-//   was asked for after the copy had a later position shows that the copy is
-//   not of the registry's history, whatever a header or a neighbour said: the
-//   registry itself decides;
-// - two copies at one revision with different checksums, for two paces: one of
-//   them missed a change, and only the registry can tell which: listed again.
+// - An answer without changes proves that there were none only if the
+//   registry's revision is still that of the cache. A later revision means that
+//   the watch has skipped changes, and everything is listed again.
+// - The end of a registration is reported only once, so everything is also
+//   listed at regular intervals, a page between two watches: a large list in
+//   one go would delay the updates of all instances for seconds.
+// - A connection that stops responding ends by its timeout.
+// - The first list may be stale if there was a directory to start with: it
+//   costs the registry a tenth and proves nothing. A current list, or a push
+//   with the same checksum, has to follow before the cache counts as current
+//   and is passed on. While that list waits for its time, everything is read
+//   from the first instance that pushes its updates, so that few lists serve
+//   all instances that start.
+// - The registry may be restored from a backup (`Position.h`). Its answers
+//   state the generation. Content of a later generation than the cache's is
+//   accepted only from a whole list whose pages are all of one generation. If a
+//   list ends at an earlier position than the cache had when the list was
+//   requested, the cache is not of the registry's history, whatever a header or
+//   another instance said: the registry itself decides.
+// - If two caches at one revision have different checksums for two poll
+//   intervals, one of them missed a change. Only the registry can tell which,
+//   so everything is listed again.
 
 #ifndef CHICORYBANK_EDGE_REGISTRYWATCHER_H
 #define CHICORYBANK_EDGE_REGISTRYWATCHER_H
@@ -40,42 +42,43 @@
 
 namespace chicory::edge {
 
-/// Times of a news reader.
+/// Times of a registry watcher.
 struct WatcherTimes {
-  /// Between two calls of the one that watches, and how long a watch waits: the
-  /// age that news reaches. A change and its passing on have to fit several
-  /// times into the time in which it must be in force.
+  /// Between two calls of the instance that watches, and how long a watch
+  /// waits: the staleness that caches reach. A change and its propagation have
+  /// to fit several times into the time in which the change must be in force.
   Duration PollInterval = std::chrono::milliseconds(500);
-  /// A call without an answer is given up; a registry that is a hundred times
-  /// slower than usual answers in 400 ms.
+  /// Timeout of a call; a registry that is a hundred times slower than usual
+  /// answers in 400 ms.
   Duration CallTimeout = std::chrono::milliseconds(1200);
-  /// The first calls after the start come in a crowd; one that is lost is
-  /// noticed sooner.
+  /// Timeout of the first calls after a start. Many instances start together,
+  /// so calls get lost; a shorter timeout detects that sooner.
   Duration StartupCallTimeout = std::chrono::milliseconds(400);
-  /// Back-off after a failure, doubling, with a quarter of jitter.
+  /// Back-off after a failure: doubling, with a quarter of jitter.
   Duration RetryMin = std::chrono::milliseconds(50);
   Duration RetryMax = std::chrono::milliseconds(800);
-  /// Without news for this long the log says that it is stale; while all is
-  /// well no instance waits as long.
+  /// The log reports a cache as stale after this long without proof that it is
+  /// current; no instance waits as long while the registry and the other
+  /// instances respond.
   Duration StaleAfter = std::chrono::milliseconds(1500);
-  /// Between two lists that doubt caused.
+  /// The minimum between two lists that differing checksums cause.
   Duration RelistMin = std::chrono::milliseconds(1000);
-  /// The one that watches lists everything this often.
+  /// The instance that watches lists everything this often.
   Duration RelistEvery = std::chrono::seconds(8);
-  /// What a restored registry lacks is believed for this long from the first
-  /// list on, until whoever wrote it has written it again. Servers write each
-  /// second or so.
+  /// What a restored registry lacks is retained for this long after the first
+  /// list, until its writers have written it again. Servers write about once a
+  /// second.
   Duration RetainRegistrationsFor = std::chrono::seconds(3);
   /// Instances write with their next renewal.
   Duration RetainInstancesFor = std::chrono::seconds(6);
   /// Operators write by then at the latest. Once they have written anything,
-  /// the rest follows soon: a drain that they took back across the restore has
-  /// nothing that would tell of its end.
+  /// the rest follows soon: if they ended a drain across the restore, the
+  /// registry holds no trace of its end.
   Duration RetainOperatorSettingsFor = std::chrono::seconds(6);
   Duration OperatorSettingsFollowWithin = std::chrono::seconds(2);
 };
 
-/// Counters of a news reader.
+/// Counters of a registry watcher.
 struct WatcherStats {
   uint64_t Calls = 0;
   uint64_t Lists = 0;
@@ -85,19 +88,19 @@
   uint64_t BadItems = 0;
   uint64_t Pushes = 0;
   uint64_t Pulls = 0;
-  /// Of those, the ones that read everything.
+  /// Pulls that read everything.
   uint64_t WholePulls = 0;
-  /// Restores of the registry that were noticed.
+  /// Restores of the registry that were detected.
   uint64_t Generations = 0;
-  /// Items that were held after a restore and never written again.
+  /// Items that were retained after a restore and never written again.
   uint64_t RetainedExpired = 0;
-  /// Pushes of another generation than the copy's, which show nothing.
+  /// Pushes of another generation than the cache's, which prove nothing.
   uint64_t OtherGenerations = 0;
-  /// Answers of the registry with a revision below that of the copy.
+  /// Answers of the registry with a revision below that of the cache.
   uint64_t RevisionsBehind = 0;
 };
 
-/// A call to be made, with its time limit.
+/// A call to make, with its timeout.
 struct TimedCall {
   RegistryCall Call;
   Duration Timeout;
@@ -105,89 +108,93 @@
 
 /// The outcome of a call: a status and a body, or no answer.
 struct RegistryAnswer {
-  /// Zero: no answer came.
+  /// Zero if no answer arrived.
   int Status = 0;
   std::string Body;
-  /// The registry's generation; nothing where the answer does not tell it.
+  /// The registry's generation; nothing if the answer does not state it.
   std::optional<edge::Generation> Generation;
 };
 
-/// The state machine; it does no I/O. One registry call is under way at a time.
+/// The state machine; it does no I/O. At most one call is in flight.
 class RegistryWatcher {
 public:
-  /// For an instance in this zone.
+  /// `zone` is the instance's availability zone.
   RegistryWatcher(const RegistryDialect &dialect, WatcherTimes times,
                   uint64_t seed, std::string zone);
 
-  /// How old news may grow before this instance asks by itself, and how far it
-  /// backs off while the registry fails. Both grow with the place in line.
+  /// Sets the staleness limit, after which this instance calls the registry by
+  /// itself, and the maximum of its back-off. Both grow with the instance's
+  /// rank among those that can take over the watch.
   void setPatience(Duration patience, Duration retryMax);
 
-  /// The call that is due, if any. It counts as sent.
+  /// Returns the call that is due, if any. It counts as sent.
   std::optional<TimedCall> next(Time now);
-  /// When `next` may have something to send.
+  /// Returns when `next` may have a call.
   Time nextAt() const;
-  /// The call's outcome. Appends what was learned. True: news came.
+  /// Takes the outcome of the call and appends what it reports. Returns true if
+  /// it proves that the cache is current.
   bool answered(const RegistryAnswer &answer, Time now,
                 std::vector<token::Event> &out);
 
-  /// Another instance's push. `late`: it may have waited here for long, so it
-  /// does not show that the news is current. Returns true where the changes
-  /// have to be read from the sender; what is read is then as current as the
-  /// push was.
+  /// Takes another instance's push. If `late`, it may have waited here for
+  /// long, so it does not prove that the cache is current. Returns true if the
+  /// changes have to be read from the sender; what is read is then as current
+  /// as the push was.
   bool applyPush(const NewsPush &push, bool late, Time now,
                  std::vector<token::Event> &out);
-  /// What is known may be passed on to other instances.
+  /// The cache may be passed on to other instances.
   bool mayPassOn() const { return !Unconfirmed; }
-  /// What was read from another instance.
+  /// Takes what was read from another instance.
   void applyPull(const ItemPage &page, bool whole, Time now,
                  std::vector<token::Event> &out);
-  /// The changes that a push told of could not be read from its sender, so the
-  /// registry is asked for them at once.
-  void pullFailed() { AskNow = true; }
-  /// An answer to another call than the reader's told this generation.
+  /// The changes that a push announced could not be read from its sender, so
+  /// the registry is called at once.
+  void pullFailed() { CallNow = true; }
+  /// Takes the generation in the answer to a call that the watcher did not
+  /// make.
   void observeGeneration(std::optional<Generation> generation, Time now);
-  /// What another instance knows, read while the registry has not answered
-  /// since the start. It serves callers, but nobody knows how old it is.
+  /// Takes the cache of another instance while the registry has not answered
+  /// since the start. It serves callers, but its age is unknown.
   void applySeed(const ItemPage &page, std::vector<token::Event> &out);
-  /// The registry did not answer since the start, and a sender knows more. A
-  /// sender with stale news shows that the registry is away as well as a call
-  /// that failed, and earlier.
+  /// Returns true if the registry has not answered since the start and the
+  /// sender has later items. A sender with a stale cache proves an outage of
+  /// the registry as well as a failed call does, and earlier.
   bool needsSeed(const NewsPush &push) const {
     bool failing = Stats.Failures != 0 || push.Age > Times.StaleAfter;
     return !Complete && failing && push.Page.At > Cache.position();
   }
-  /// A push with the changes behind a revision.
+  /// Builds a push with the changes after a position.
   NewsPush makePush(InstanceId self, Position since, Time now) const;
-  /// The process or its machine stood still: what it believes may be old.
+  /// Lists everything after the process or its machine was suspended, since the
+  /// cache may be stale.
   void revalidate(Time now);
 
-  /// Faults in items, since the last call of this.
+  /// Returns the errors in items since the last call.
   Findings takeFindings() { return std::exchange(Faults, {}); }
   const std::map<InstanceId, PeerRecord> &peers() const { return Peers; }
-  /// What is recorded of routes, by part.
+  /// Returns the history of route targets, by part.
   const RouteRecords &routeRecords() const { return Recorded; }
-  /// What is known of the directory that the registry holds.
+  /// Returns the summary of the directory that the registry holds.
   const DirectorySummary &directorySummary() const { return StoredDirectory; }
-  /// What a start needs was read.
+  /// Everything that a start needs was read.
   bool started() const { return State != Phase::Starting; }
   /// Everything was read at least once.
   bool complete() const { return Complete; }
-  /// Everything is known, from the registry or from another instance.
+  /// All items are known, from the registry or from another instance.
   bool hasAllItems() const { return Complete || Seeded; }
-  /// The news is older than it ever is while the registry answers.
+  /// The cache is older than it ever is while the registry answers.
   bool isStale(Time now) const { return now - CurrentAt > Times.StaleAfter; }
   Time currentAt() const { return CurrentAt; }
   const RegistryCache &cache() const { return Cache; }
-  /// The latest generation that the registry has told; nothing before its
-  /// first answer.
+  /// Returns the latest generation that the registry has reported; nothing
+  /// before its first answer.
   const std::optional<Generation> &latestGeneration() const {
     return LatestGeneration;
   }
-  /// Where the registry stood when it answered last.
+  /// Returns the registry's position in its last answer.
   Position registryPosition() const { return RegistryPosition; }
-  /// The copy is of the registry's generation. Until then conditions and leases
-  /// that were read from it may hold by accident.
+  /// The cache is of the registry's generation. Until then conditions and
+  /// leases that were read from it may match by accident.
   bool generationIsCurrent() const {
     return LatestGeneration == Cache.position().Generation;
   }
@@ -196,48 +203,50 @@
 private:
   enum class Phase : uint8_t { Starting, Listing, Watching };
 
-  void takeStart(const RegistryAnswer &answer, Time now,
-                 std::vector<token::Event> &out);
+  void handleStartAnswer(const RegistryAnswer &answer, Time now,
+                         std::vector<token::Event> &out);
   void beginFirstList(Time now);
   void beginWatching(Time now, std::vector<token::Event> &out);
-  /// What the directory named and the first list lacks.
+  /// Ends servers that the directory names and the first list lacks.
   void endUnlistedServers(std::vector<token::Event> &out);
   RegistryCall nextCall(Time now);
-  /// Takes a page of a list. True: it was the last.
-  bool takeList(ItemPage page, Time now, std::vector<token::Event> &out);
-  void takeChanges(const ItemPage &page, Time now,
-                   std::vector<token::Event> &out);
-  void failed(int status, Time now);
+  /// Takes a page of a list. Returns true after the last page of a current
+  /// list.
+  bool handleListPage(ItemPage page, Time now, std::vector<token::Event> &out);
+  void handleWatchAnswer(const ItemPage &page, Time now,
+                         std::vector<token::Event> &out);
+  void handleFailure(int status, Time now);
   void markCurrent(Time at, std::vector<token::Event> &out);
   void appendEvents(std::vector<Change> changes,
                     std::vector<token::Event> &out);
   void startList(Time at);
-  /// The first list is to come, and has not begun.
+  /// The first list is due later and has not begun.
   bool firstListIsPending() const {
     return !Complete && State == Phase::Listing && !Waiting && After.empty();
   }
   bool replacesFirstList(const NewsPush &push) const;
   bool mustPull(const NewsPush &push) const;
   void trackDifference(bool differs, Time now);
-  /// The push shows that the list which is due would find nothing.
+  /// The push proves that the list which is due would find nothing.
   bool confirmsCache(const NewsPush &push) const;
-  bool pageIsNext() const {
-    return State == Phase::Listing || (Reviewing && !AskNow && PageTurn);
+  bool listPageIsNext() const {
+    return State == Phase::Listing ||
+           (Relisting && !CallNow && PageBeforeWatch);
   }
   /// This instance is the one that watches.
   bool watches() const { return Patience <= Times.PollInterval; }
 
-  void noteGeneration(const RegistryAnswer &answer);
-  /// Without a header, the generation that was told last.
+  void recordGeneration(const RegistryAnswer &answer);
+  /// Returns the latest generation if the answer has no header.
   Generation generationOf(const RegistryAnswer &answer) const;
-  void notePosition(const ItemPage &page);
-  /// The list shows that the copy is of another history than the registry's.
-  bool contradicts(const ItemPage &list) const;
-  void rebase(ItemPage &list);
-  /// Takes everything as of a position, and notices a restore.
+  void recordPosition(const ItemPage &page);
+  /// The list proves that the cache is of another history than the registry's.
+  bool provesOtherHistory(const ItemPage &list) const;
+  void adoptRegistryHistory(ItemPage &list);
+  /// Takes all items as of a position, and detects a restore.
   void replaceCache(const ItemPage &page, Time now,
                     std::vector<token::Event> &out);
-  /// Ends what is held and was not written again, as of some time.
+  /// Ends retained items whose time for being written again is over at `at`.
   void expireRetained(Time at, std::vector<token::Event> &out);
 
   WatcherTimes Times;
@@ -246,61 +255,62 @@
   RegistryCache Cache;
   Phase State = Phase::Starting;
   StartupReads Start;
-  /// Of the list that comes next, or is under way.
+  /// Of the next list, or of the one in progress.
   Freshness ListFreshness = Freshness::Current;
   bool Waiting = false;
   bool Complete = false;
-  /// Everything is known, though not from the registry.
+  /// All items are known, though not from the registry.
   bool Seeded = false;
-  /// Everything is being listed beside the watch, and whether a page of that
+  /// Everything is being listed between watches, and whether one of its pages
   /// comes before the next watch.
-  bool Reviewing = false;
-  bool PageTurn = false;
-  /// What was asked last.
-  bool AskedForPage = false;
+  bool Relisting = false;
+  bool PageBeforeWatch = false;
+  /// The last call was for a page of a list.
+  bool LastCallWasList = false;
   Duration Patience;
   Duration RetryMax;
   Duration Retry;
-  /// There are changes that nobody else could give.
-  bool AskNow = false;
-  /// Not before; set by back-off.
+  /// There are changes that no other instance could provide.
+  bool CallNow = false;
+  /// The back-off allows no call before this time.
   Time DueAt;
   Time SentAt;
   Time WatchedAt;
   Time LastList;
-  /// As of when the copy is known to be current.
+  /// The cache is known to be current as of this time.
   Time CurrentAt = Time{} - std::chrono::hours(1);
-  /// A list in several pages: where it goes on, and what there is so far.
+  /// A list in several pages: the key after which it continues, and the items
+  /// so far.
   std::string After;
   ItemPage Pages;
   Time ListStartedAt;
-  /// The copy's position then.
-  Position CopyAtListStart;
+  /// The cache's position at that time.
+  Position CacheAtListStart;
   std::map<InstanceId, PeerRecord> Peers;
   RouteRecords Recorded;
   DirectorySummary StoredDirectory;
-  /// The latest generation that the registry has told.
+  /// The latest generation that the registry has reported.
   std::optional<Generation> LatestGeneration;
-  /// Answers have a header that tells it.
+  /// Answers have a header with the generation.
   bool HasGenerationHeader = false;
-  /// The copy is from a read that may be old, even from before a restore, and
-  /// nothing current agreed with it yet. A watch behind it could not tell: its
-  /// revision may have been given out again.
+  /// The cache is from a read that may be stale, even from before a restore,
+  /// and nothing current has confirmed it yet. A watch after its revision would
+  /// not detect that, since the revision may have been assigned again.
   bool Unconfirmed = false;
   Position RegistryPosition;
-  /// The push whose changes are read from its sender: where they lead at least,
-  /// and as of when its sender knew them to be current.
+  /// The push whose changes are being read from its sender: the position that
+  /// they reach at least, and when the sender's cache was known to be current.
   struct PendingPull {
     Position To;
     Time AsOf;
   };
   std::optional<PendingPull> Pull;
-  /// Since when other copies at this one's position have differed from it.
+  /// Since when other caches at this one's position have differed from it.
   std::optional<Time> DiffersSince;
-  /// When a list last lacked what the copy then held.
-  Time HeldSince;
+  /// When a list last lacked items that the cache then retained.
+  Time RetainedSince;
   Time RetainOperatorSettingsUntil;
-  /// The operators have written since.
+  /// The operators have written since then.
   bool OperatorsHaveWritten = false;
   Findings Faults;
   WatcherStats Stats;
--- a/lib/edge/Directory.cpp
+++ b/lib/edge/Directory.cpp
@@ -12,17 +12,17 @@
 namespace {
 
 constexpr uint64_t FormatVersion = 3;
-// An item of the registry holds a megabyte, and a column of numbers shrinks to
-// a tenth at most unless somebody means harm.
-constexpr size_t MostBytes = 16 << 20;
+// An item of the registry holds at most a megabyte, and a column of numbers is
+// not compressed to less than a tenth unless the data is malicious.
+constexpr size_t MaxBytes = 16 << 20;
 
 using token::Registration;
 
-/// The distinct values of a member, in the order in which they come; entries
-/// name them by their place.
+/// The distinct values of a member, in the order in which they are added;
+/// entries refer to them by index.
 template <typename Value> class Dictionary {
 public:
-  size_t placeOf(const Value &value) {
+  size_t indexOf(const Value &value) {
     auto it = std::find(Values.begin(), Values.end(), value);
     if (it == Values.end())
       it = Values.insert(Values.end(), value);
@@ -34,21 +34,21 @@
   std::vector<Value> Values;
 };
 
-/// A number as its difference from the one before. The sign goes into the
-/// lowest bit, so that small steps either way are short.
-uint64_t stepFrom(uint64_t before, uint64_t value) {
+/// Encodes a number as its difference from the previous one, with the sign in
+/// the lowest bit, so that small steps in either direction are short.
+uint64_t encodeStep(uint64_t before, uint64_t value) {
   auto change = static_cast<int64_t>(value - before);
   return (static_cast<uint64_t>(change) << 1) ^
          static_cast<uint64_t>(change >> 63);
 }
 
-/// The inverse.
-uint64_t stepOn(uint64_t before, uint64_t step) {
+/// The inverse of `encodeStep`.
+uint64_t decodeStep(uint64_t before, uint64_t step) {
   return before + ((step >> 1) ^ (~(step & 1) + 1));
 }
 
-/// The same members of all servers stand together, each as its difference from
-/// the one before: that leaves little to write of what is alike.
+/// Writes one member of all servers together, each value as its difference from
+/// the previous one, so that similar values take little space.
 template <typename Get>
 void packColumn(Packer &out, const std::vector<Registration> &servers,
                 Get get) {
@@ -56,7 +56,7 @@
   uint64_t before = 0;
   for (const Registration &it : servers) {
     uint64_t value = get(it);
-    out.number(stepFrom(before, value));
+    out.number(encodeStep(before, value));
     before = value;
   }
 }
@@ -67,23 +67,23 @@
   Unpacker column = in.nested();
   uint64_t value = 0;
   for (Registration &it : servers) {
-    value = stepOn(value, column.number());
+    value = decodeStep(value, column.number());
     set(it, value);
   }
   in.require(column.done());
 }
 
-/// A number that has to fit its type.
+/// Converts a number that has to fit its type.
 template <typename Number> Number narrow(Unpacker &in, uint64_t n) {
   in.require(n <= static_cast<uint64_t>(std::numeric_limits<Number>::max()));
   return static_cast<Number>(n);
 }
 
-/// What a place in a dictionary names.
+/// Returns the dictionary's value at an index.
 template <typename Value>
-Value named(Unpacker &in, const std::vector<Value> &values, uint64_t place) {
-  in.require(place < values.size());
-  return place < values.size() ? values[place] : Value{};
+Value valueAt(Unpacker &in, const std::vector<Value> &values, uint64_t index) {
+  in.require(index < values.size());
+  return index < values.size() ? values[index] : Value{};
 }
 
 Directory readDirectory(Unpacker &in) {
@@ -98,12 +98,13 @@
     services.push_back(ServiceId{narrow<uint32_t>(in, serviceList.number())});
   in.require(zoneList.done() && serviceList.done());
 
-  // Room is made for what the first column holds, not for what it claims.
+  // The first column determines the number of servers: memory is allocated for
+  // what it holds, not for what it claims.
   std::vector<Registration> &out = directory.Servers;
   Unpacker ids = in.nested();
   uint64_t id = 0;
   while (ids.more()) {
-    id = stepOn(id, ids.number());
+    id = decodeStep(id, ids.number());
     out.push_back({.Id = token::BackendId{id}});
     in.require(id != 0);
   }
@@ -115,10 +116,10 @@
     it.Where.Port = narrow<uint16_t>(in, n);
   });
   readColumn(in, out, [&](Registration &it, uint64_t n) {
-    it.Zone = named(in, zones, n);
+    it.Zone = valueAt(in, zones, n);
   });
   readColumn(in, out, [&](Registration &it, uint64_t n) {
-    it.Service = named(in, services, n);
+    it.Service = valueAt(in, services, n);
   });
   readColumn(in, out, [&](Registration &it, uint64_t n) {
     it.Draining = narrow<uint8_t>(in, n) != 0;
@@ -142,10 +143,10 @@
   const std::vector<Registration> &servers = directory.Servers;
   Dictionary<std::string> zones;
   Dictionary<ServiceId> services;
-  // The dictionaries stand in front, so they are filled first.
+  // The dictionaries precede the columns, so they are filled first.
   for (const Registration &it : servers) {
-    zones.placeOf(it.Zone);
-    services.placeOf(it.Service);
+    zones.indexOf(it.Zone);
+    services.indexOf(it.Service);
   }
   Packer out;
   out.list(14).number(FormatVersion).number(directory.Instances);
@@ -159,8 +160,8 @@
   column([](const Registration &it) { return it.Id.Value; });
   column([](const Registration &it) { return uint64_t{it.Where.Ip}; });
   column([](const Registration &it) { return uint64_t{it.Where.Port}; });
-  column([&](const Registration &it) { return zones.placeOf(it.Zone); });
-  column([&](const Registration &it) { return services.placeOf(it.Service); });
+  column([&](const Registration &it) { return zones.indexOf(it.Zone); });
+  column([&](const Registration &it) { return services.indexOf(it.Service); });
   column([](const Registration &it) { return it.Draining ? 1U : 0U; });
   column([](const Registration &it) { return uint64_t{it.Slots}; });
   column([](const Registration &it) { return it.Order.Generation; });
@@ -172,7 +173,7 @@
 }
 
 tl::expected<Directory, Reason> decodeDirectory(std::span<const char> bytes) {
-  return decompress(bytes, MostBytes).and_then([](const std::string &it) {
+  return decompress(bytes, MaxBytes).and_then([](const std::string &it) {
     return decodeArray<Directory>(it, FormatVersion, readDirectory);
   });
 }
--- a/lib/edge/RegistryCache.cpp
+++ b/lib/edge/RegistryCache.cpp
@@ -9,114 +9,117 @@
 
 namespace {
 
-// An instance that was silent for longer than some twenty seconds of changes
-// reads everything anew. Where there are more items than that, the history
-// holds one change of each: all of them may register anew within a second.
-constexpr size_t HistoryItems = 512;
-// So many unreadable items are remembered; some 100 kB. Above it they are told
-// of more than once.
-constexpr size_t MostRefused = 1000;
-
-/// The second registration says nothing that the first one did not.
-bool sameMeaning(const ItemContent &a, const ItemContent &b) {
+// An instance that received nothing for more than about twenty seconds of
+// changes reads everything again. With more items than that, the history has
+// room for one change of each, since all of them may register again within a
+// second.
+constexpr size_t MinHistoryItems = 512;
+// About 100 kB. Beyond it, errors in an item are reported more than once.
+constexpr size_t MaxUnparseable = 1000;
+
+/// Returns true if the second registration adds nothing to the first one.
+bool hasSameContent(const ItemContent &a, const ItemContent &b) {
   const auto *x = std::get_if<token::Registration>(&a);
   const auto *y = std::get_if<token::Registration>(&b);
   if (!x || !y)
     return false;
-  // Nearly all renewals, of which whoever watches reads thousands a second.
+  // Nearly all registrations are renewals, thousands a second for the instance
+  // that watches.
   if (*x == *y)
     return true;
   token::Registration later = *y;
-  // It counts down while a server warms up, which whoever was told first knows.
-  bool counting =
+  // The time counts down while a server warms up. An instance that knows its
+  // start needs no update.
+  bool countingDown =
       later.WarmUpLeft > Duration::zero() && later.WarmUpLeft <= x->WarmUpLeft;
-  if (counting)
+  if (countingDown)
     later.WarmUpLeft = x->WarmUpLeft;
-  // One registration, read in two generations.
+  // The same registration, read in two generations.
   if (later.Order.Revision == x->Order.Revision)
     later.Order = x->Order;
   return *x == later;
 }
 
-/// What an item means, as a number. Equal meanings have equal ones.
+/// Hashes an item's content; equal contents have equal hashes.
 struct ContentHash {
-  uint64_t operator()(const std::monostate & /*news*/) const { return 0; }
-  uint64_t operator()(const token::RouteSet &news) const {
-    return mixHash(1, news.Version.Value);
+  uint64_t operator()(const std::monostate & /*content*/) const { return 0; }
+  uint64_t operator()(const token::RouteSet &content) const {
+    return mixHash(1, content.Version.Value);
   }
-  uint64_t operator()(const token::Registration &news) const {
-    uint64_t out = mixHash(news.Id.Value, news.Where.packed());
-    out = mixHash(out, static_cast<uint64_t>(news.Born));
-    return mixHash(out, news.Service.Value * 2 + (news.Draining ? 1 : 0));
+  uint64_t operator()(const token::Registration &content) const {
+    uint64_t out = mixHash(content.Id.Value, content.Where.packed());
+    out = mixHash(out, static_cast<uint64_t>(content.Born));
+    return mixHash(out, content.Service.Value * 2 + (content.Draining ? 1 : 0));
   }
-  uint64_t operator()(const RegistrationUnreadable &news) const {
-    return mixHash(2, news.Id.Value);
+  uint64_t operator()(const RegistrationUnreadable &content) const {
+    return mixHash(2, content.Id.Value);
   }
-  uint64_t operator()(const RegistrationEnded & /*news*/) const { return 0; }
-  uint64_t operator()(const PeerRecord &news) const {
-    return mixHash(news.Id.Value, news.PeerAddress.packed() * 2 + news.Leaving);
+  uint64_t operator()(const RegistrationEnded & /*content*/) const { return 0; }
+  uint64_t operator()(const PeerRecord &content) const {
+    return mixHash(content.Id.Value,
+                   content.PeerAddress.packed() * 2 + content.Leaving);
   }
-  uint64_t operator()(const RouteRecord &news) const {
-    uint64_t out = news.Part;
-    for (const token::RoutePair &it : news.Pairs)
+  uint64_t operator()(const RouteRecord &content) const {
+    uint64_t out = content.Part;
+    for (const token::RoutePair &it : content.Pairs)
       out = mixHash(mixHash(out, it.Where.packed()), it.Service.Value);
     return out;
   }
-  uint64_t operator()(const DirectorySummary &news) const {
+  uint64_t operator()(const DirectorySummary &content) const {
     uint64_t out = 3;
-    for (const auto &[zone, digest] : news.Digests)
+    for (const auto &[zone, digest] : content.Digests)
       out = mixHash(mixHash(out, hashBytes(zone)), digest);
     return out;
   }
-  uint64_t operator()(const ZoneDrain &news) const {
-    return mixHash(4, hashBytes(news.Zone));
+  uint64_t operator()(const ZoneDrain &content) const {
+    return mixHash(4, hashBytes(content.Zone));
   }
 };
 
-uint64_t digestOf(const Item &item, const ItemContent &news) {
+uint64_t digestOf(const Item &item, const ItemContent &content) {
   uint64_t identity =
       mixHash(hashBytes(item.Key), static_cast<uint64_t>(item.Created));
-  return mixHash(identity, std::visit(ContentHash(), news));
+  return mixHash(identity, std::visit(ContentHash(), content));
 }
 
-bool isRegistration(const ItemContent &news) {
-  return std::holds_alternative<token::Registration>(news) ||
-         std::holds_alternative<RegistrationUnreadable>(news);
+bool isRegistration(const ItemContent &content) {
+  return std::holds_alternative<token::Registration>(content) ||
+         std::holds_alternative<RegistrationUnreadable>(content);
 }
 
-/// What only the system itself writes, and writes by what the registry holds,
-/// has to be known as missing at once.
-bool mayBeHeld(const ItemContent &news) {
-  return !std::holds_alternative<RouteRecord>(news) &&
-         !std::holds_alternative<DirectorySummary>(news);
+/// The route history and the directory are written by this system alone,
+/// according to what the registry holds, so their loss has to be known at once.
+bool mayBeRetained(const ItemContent &content) {
+  return !std::holds_alternative<RouteRecord>(content) &&
+         !std::holds_alternative<DirectorySummary>(content);
 }
 
-/// The configuration is replaced, never removed; it is held for as long as it
-/// takes.
-bool holdEnds(const ItemContent &news, RetainedItems kind) {
+/// The configuration is of no kind: it is replaced, never removed, and retained
+/// until then.
+bool isOfKind(const ItemContent &content, RetainedItems kind) {
   switch (kind) {
   case RetainedItems::Registrations:
-    return isRegistration(news);
+    return isRegistration(content);
   case RetainedItems::Instances:
-    return std::holds_alternative<PeerRecord>(news);
+    return std::holds_alternative<PeerRecord>(content);
   case RetainedItems::OperatorSettings:
     break;
   }
-  return std::holds_alternative<ZoneDrain>(news);
+  return std::holds_alternative<ZoneDrain>(content);
 }
 
-/// A restored registry may show a server as it was before it began to drain.
-/// It drains until it has written again.
-void keepDrain(const ItemContent &known, ItemContent &news) {
+/// A restored registry may hold a server's registration from before it began to
+/// drain. The server keeps draining until it has written again.
+void keepDrain(const ItemContent &known, ItemContent &content) {
   const auto *before = std::get_if<token::Registration>(&known);
-  auto *now = std::get_if<token::Registration>(&news);
+  auto *now = std::get_if<token::Registration>(&content);
   if (before && now && before->Draining)
     now->Draining = true;
 }
 
 } // namespace
 
-void RegistryCache::note(const Item &item, Position learnedAt) {
+void RegistryCache::addToHistory(const Item &item, Position learnedAt) {
   History.push_back({.Key = item.Key,
                      .LearnedAt = learnedAt,
                      .EndedAt = item.Deleted ? item.At : Position{}});
@@ -126,7 +129,7 @@
   History.pop_front();
 }
 
-void RegistryCache::include(const Entry &entry) {
+void RegistryCache::addToTotals(const Entry &entry) {
   Digest ^= entry.Digest;
   InstanceCount += std::holds_alternative<PeerRecord>(entry.Content) ? 1 : 0;
   const auto *server = std::get_if<token::Registration>(&entry.Content);
@@ -137,9 +140,9 @@
   ++zone.Count;
 }
 
-void RegistryCache::exclude(const Entry &entry) {
-  if (entry.Held) {
-    --HeldCount;
+void RegistryCache::removeFromTotals(const Entry &entry) {
+  if (entry.Retained) {
+    --RetainedCount;
     return;
   }
   Digest ^= entry.Digest;
@@ -153,96 +156,97 @@
     ByZone.erase(zone);
 }
 
-void RegistryCache::hold(Entry &entry) {
-  exclude(entry);
-  entry.Held = true;
-  ++HeldCount;
+void RegistryCache::retain(Entry &entry) {
+  removeFromTotals(entry);
+  entry.Retained = true;
+  ++RetainedCount;
 }
 
-/// A page of a list may be older than what a watch or a push told meanwhile:
-/// an item in it may have ended since.
+/// A page of a list may be older than what a watch or a push has reported
+/// meanwhile: an item in it may have ended since.
 bool RegistryCache::endedAfter(const Item &item) const {
-  return std::any_of(History.begin(), History.end(), [&](const Past &it) {
-    return it.EndedAt > item.At && it.Key == item.Key;
-  });
+  return std::any_of(History.begin(), History.end(),
+                     [&](const HistoryEntry &it) {
+                       return it.EndedAt > item.At && it.Key == item.Key;
+                     });
 }
 
-/// The copy lacks the item, and began with everything there was at a later
-/// revision than the page's: the item had ended by then. What a list that may
-/// be old brings back would be a drain of a zone that is over, or a server that
+/// For an item that the cache lacks. If the first whole list was at a later
+/// revision than the page, the item had ended by then. A list that may be stale
+/// would otherwise restore the drain of a zone that is over, or a server that
 /// has gone.
 bool RegistryCache::mayHaveEnded(const Item &item, const ItemPage &page) const {
-  return page.At < WholeFrom || endedAfter(item);
+  return page.At < FirstListAt || endedAfter(item);
 }
 
 size_t RegistryCache::historyLimit() const {
-  return std::max(HistoryItems, Items.size());
+  return std::max(MinHistoryItems, Items.size());
 }
 
-void RegistryCache::take(const Item &item, const ItemPage &page,
-                         Findings &findings, std::vector<Change> &out) {
+void RegistryCache::applyItem(const Item &item, const ItemPage &page,
+                              Findings &findings, std::vector<Change> &out) {
   auto it = Items.find(item.Key);
   if (it != Items.end() && !item.supersedes(it->second.Source))
     return;
   if (it == Items.end() && item.At <= At &&
       (item.Deleted || mayHaveEnded(item, page)))
     return;
-  if (alreadyRefused(item))
+  if (alreadyReported(item))
     return;
   size_t faults = findings.items().size();
-  ItemContent news = Dialect.translate(item, findings);
+  ItemContent content = Dialect.translate(item, findings);
   if (it == Items.end() && item.At <= OperatorSettingsAsOf &&
-      std::holds_alternative<ZoneDrain>(news))
+      std::holds_alternative<ZoneDrain>(content))
     return;
   if (item.Deleted) {
     if (it != Items.end()) {
-      exclude(it->second);
+      removeFromTotals(it->second);
       Items.erase(it);
     }
-    note(item, page.At);
-    out.push_back({.Source = item, .Content = std::move(news)});
+    addToHistory(item, page.At);
+    out.push_back({.Source = item, .Content = std::move(content)});
     return;
   }
-  if (std::holds_alternative<std::monostate>(news)) {
+  if (std::holds_alternative<std::monostate>(content)) {
     if (findings.items().size() != faults)
-      noteRefused(item);
+      recordReported(item);
     return;
   }
   if (it == Items.end())
     it = Items.emplace(item.Key, Entry{}).first;
-  if (std::holds_alternative<token::RouteSet>(news))
+  if (std::holds_alternative<token::RouteSet>(content))
     RoutesKey = item.Key;
-  uint64_t digest = digestOf(item, news);
+  uint64_t digest = digestOf(item, content);
   if (it->second.Source.At.Generation < item.At.Generation)
-    keepDrain(it->second.Content, news);
-  // Whoever saw the lapse in between has to hear of the new registration.
-  bool same = sameMeaning(it->second.Content, news) &&
+    keepDrain(it->second.Content, content);
+  // An instance that saw the old registration lapse needs the new one.
+  bool same = hasSameContent(it->second.Content, content) &&
               it->second.Source.Created == item.Created;
-  exclude(it->second);
-  it->second = {.Source = item, .Content = news, .Digest = digest};
-  include(it->second);
+  removeFromTotals(it->second);
+  it->second = {.Source = item, .Content = content, .Digest = digest};
+  addToTotals(it->second);
   if (same)
     return;
-  note(item, page.At);
-  out.push_back({.Source = item, .Content = std::move(news)});
+  addToHistory(item, page.At);
+  out.push_back({.Source = item, .Content = std::move(content)});
 }
 
-/// An item that says nothing is not kept, and lists bring it again and again;
-/// its faults are told once for each time that it is written.
-bool RegistryCache::alreadyRefused(const Item &item) const {
-  auto it = Refused.find(item.Key);
-  return it != Refused.end() && it->second == item.At;
+/// Unparseable items are not cached, so every list contains them again; their
+/// errors are reported once for each write.
+bool RegistryCache::alreadyReported(const Item &item) const {
+  auto it = Unparseable.find(item.Key);
+  return it != Unparseable.end() && it->second == item.At;
 }
 
-void RegistryCache::noteRefused(const Item &item) {
-  if (Refused.size() >= MostRefused)
-    Refused.clear();
-  Refused[item.Key] = item.At;
+void RegistryCache::recordReported(const Item &item) {
+  if (Unparseable.size() >= MaxUnparseable)
+    Unparseable.clear();
+  Unparseable[item.Key] = item.At;
 }
 
 std::vector<Change> RegistryCache::apply(const ItemPage &page,
                                          Findings &findings) {
-  // Changes of another generation lead nowhere from here.
+  // Changes of another generation do not apply to this one.
   if (page.At.Generation != At.Generation && At != Position{})
     return {};
   std::vector<Change> out = applyPartial(page, findings);
@@ -254,7 +258,7 @@
                                                 Findings &findings) {
   std::vector<Change> out;
   for (const Item &it : page.Items)
-    take(it, page, findings, out);
+    applyItem(it, page, findings, out);
   return out;
 }
 
@@ -276,25 +280,25 @@
   std::unordered_set<std::string> present;
   for (const Item &it : page.Items) {
     present.insert(it.Key);
-    take(it, page, findings, out);
+    applyItem(it, page, findings, out);
   }
   std::vector<Item> ended;
   for (auto &[key, entry] : Items) {
     bool later = entry.Source.At > page.At && !entry.Source.MayBeStale;
-    if (present.contains(key) || later || entry.Held)
+    if (present.contains(key) || later || entry.Retained)
       continue;
     bool otherHistory = entry.Source.At.Generation < page.At.Generation ||
                         entry.Source.MayBeStale;
-    if (otherHistory && mayBeHeld(entry.Content))
-      hold(entry);
+    if (otherHistory && mayBeRetained(entry.Content))
+      retain(entry);
     else
       ended.push_back({.Key = key, .At = page.At, .Deleted = true});
   }
   for (const Item &it : ended)
-    take(it, page, findings, out);
+    applyItem(it, page, findings, out);
   if (first) {
     HistoryFrom = page.At;
-    WholeFrom = page.At;
+    FirstListAt = page.At;
   }
   At = std::max(At, page.At);
   return out;
@@ -304,11 +308,11 @@
                                                   Findings &findings) {
   std::vector<Item> ended;
   for (const auto &[key, entry] : Items)
-    if (entry.Held && holdEnds(entry.Content, kind))
+    if (entry.Retained && isOfKind(entry.Content, kind))
       ended.push_back({.Key = key, .At = At, .Deleted = true});
   std::vector<Change> out;
   for (const Item &it : ended)
-    take(it, {.At = At}, findings, out);
+    applyItem(it, {.At = At}, findings, out);
   return out;
 }
 
@@ -317,7 +321,7 @@
     entry.Source.At = {};
   At = {};
   OperatorSettingsAsOf = {};
-  Refused.clear();
+  Unparseable.clear();
 }
 
 std::vector<token::Registration>
@@ -325,7 +329,7 @@
   std::vector<token::Registration> out;
   for (const auto &[key, entry] : Items)
     if (const auto *it = std::get_if<token::Registration>(&entry.Content);
-        it && !entry.Held && (!zone || it->Zone == *zone))
+        it && !entry.Retained && (!zone || it->Zone == *zone))
       out.push_back(*it);
   return out;
 }
@@ -363,8 +367,8 @@
                            : std::get_if<token::RouteSet>(&it->second.Content);
 }
 
-/// Receivers take the items of a page for as new as the page's generation.
-Item RegistryCache::passedOn(Item item) const {
+/// Receivers assume that the items of a page are of the page's generation.
+Item RegistryCache::asPassedOn(Item item) const {
   if (item.At.Generation != At.Generation)
     item.At = {.Generation = At.Generation};
   item.MayBeStale = false;
@@ -375,14 +379,15 @@
   if (!hasHistorySince(position))
     return std::nullopt;
   ItemPage out{.At = At};
-  std::unordered_set<std::string_view> told;
-  // The newest change of each key; an item as it is now covers all of them.
+  std::unordered_set<std::string_view> seen;
+  // The newest change of each key; the item's present value covers the older
+  // ones.
   for (auto it = History.rbegin(); it != History.rend(); ++it) {
-    if (it->LearnedAt <= position || !told.insert(it->Key).second)
+    if (it->LearnedAt <= position || !seen.insert(it->Key).second)
       continue;
     auto item = Items.find(it->Key);
     if (item != Items.end())
-      out.Items.push_back(passedOn(item->second.Source));
+      out.Items.push_back(asPassedOn(item->second.Source));
     else
       out.Items.push_back({.Key = it->Key, .At = it->EndedAt, .Deleted = true});
   }
@@ -393,8 +398,8 @@
 ItemPage RegistryCache::snapshot() const {
   ItemPage out{.At = At};
   for (const auto &[key, entry] : Items)
-    if (!entry.Held)
-      out.Items.push_back(passedOn(entry.Source));
+    if (!entry.Retained)
+      out.Items.push_back(asPassedOn(entry.Source));
   return out;
 }
 
--- a/lib/edge/RegistryWatcher.cpp
+++ b/lib/edge/RegistryWatcher.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Takes out what earlier items said of a server.
-void forget(token::BackendsLearned &servers, token::BackendId id) {
+/// Removes the effect of earlier items on a server.
+void eraseServer(token::BackendsLearned &servers, token::BackendId id) {
   std::erase_if(servers.Present, [&](const token::Registration &other) {
     return other.Id == id;
   });
@@ -35,11 +35,12 @@
 Time RegistryWatcher::nextAt() const {
   if (Waiting)
     return Time::max();
-  if (State == Phase::Starting || AskNow || pageIsNext())
+  if (State == Phase::Starting || CallNow || listPageIsNext())
     return DueAt;
   if (watches())
     return std::max(DueAt, WatchedAt + Times.PollInterval);
-  // After a list that may be old, whoever watches is about to tell.
+  // After a list that may be stale, a push of the instance that watches is
+  // about to arrive.
   return std::max({DueAt, CurrentAt + Patience, LastList + Patience});
 }
 
@@ -49,8 +50,8 @@
   if (State == Phase::Watching && Unconfirmed)
     startList(now);
   Waiting = true;
-  AskedForPage = pageIsNext();
-  AskNow = false;
+  LastCallWasList = listPageIsNext();
+  CallNow = false;
   SentAt = now;
   ++Stats.Calls;
   RegistryCall call = nextCall(now);
@@ -65,15 +66,16 @@
 RegistryCall RegistryWatcher::nextCall(Time now) {
   if (State == Phase::Starting)
     return Start.call();
-  // A whole list shows as much as a watch does.
-  bool shows = State == Phase::Listing && ListFreshness == Freshness::Current;
-  if (!AskedForPage || shows)
+  // A whole list proves as much as a watch does.
+  bool provesCurrent =
+      State == Phase::Listing && ListFreshness == Freshness::Current;
+  if (!LastCallWasList || provesCurrent)
     WatchedAt = now;
-  if (!AskedForPage)
+  if (!LastCallWasList)
     return Dialect.watch(Cache.position().Revision, Times.PollInterval);
   if (After.empty()) {
     ListStartedAt = now;
-    CopyAtListStart = Cache.position();
+    CacheAtListStart = Cache.position();
     Pages = {};
   }
   ++Stats.Lists;
@@ -83,41 +85,41 @@
 bool RegistryWatcher::answered(const RegistryAnswer &answer, Time now,
                                std::vector<token::Event> &out) {
   Waiting = false;
-  noteGeneration(answer);
-  PageTurn = !AskedForPage;
+  recordGeneration(answer);
+  PageBeforeWatch = !LastCallWasList;
   if (State == Phase::Starting) {
-    takeStart(answer, now, out);
+    handleStartAnswer(answer, now, out);
     return false;
   }
   if (answer.Status == HttpGone) {
-    // The history behind our revision is dropped.
+    // The history after the cache's revision has been dropped.
     startList(now);
     return false;
   }
   if (answer.Status != HttpOk) {
-    failed(answer.Status, now);
+    handleFailure(answer.Status, now);
     return false;
   }
   tl::expected<ItemPage, std::string> page = Dialect.parsePage(answer.Body);
   if (!page) {
     ++Stats.BadAnswers;
     Faults.add({.File = "registry answer"}, page.error());
-    failed(answer.Status, now);
+    handleFailure(answer.Status, now);
     return false;
   }
   page->setGeneration(generationOf(answer));
-  notePosition(*page);
+  recordPosition(*page);
   Retry = Times.RetryMin;
   DueAt = now;
-  if (AskedForPage)
-    return takeList(std::move(*page), now, out);
-  takeChanges(*page, now, out);
+  if (LastCallWasList)
+    return handleListPage(std::move(*page), now, out);
+  handleWatchAnswer(*page, now, out);
   return State == Phase::Watching;
 }
 
-/// An answer that was under way during a restore, or was read from an old copy,
-/// tells an earlier generation. That counts only in a list that shows more.
-void RegistryWatcher::noteGeneration(const RegistryAnswer &answer) {
+/// An answer that was in flight during a restore, or that was read from a stale
+/// replica, states an earlier generation. That counts only if a list proves it.
+void RegistryWatcher::recordGeneration(const RegistryAnswer &answer) {
   if (answer.Status == 0)
     return;
   HasGenerationHeader = HasGenerationHeader || answer.Generation;
@@ -130,7 +132,7 @@
   return answer.Generation.value_or(LatestGeneration.value_or(Generation{}));
 }
 
-void RegistryWatcher::notePosition(const ItemPage &page) {
+void RegistryWatcher::recordPosition(const ItemPage &page) {
   RegistryPosition = page.At;
   if (page.At < Cache.position())
     ++Stats.RevisionsBehind;
@@ -141,19 +143,19 @@
   if (!generation || generation <= LatestGeneration)
     return;
   LatestGeneration = generation;
-  // Whoever watches is told by the next answer and passes it on; a list by
-  // everyone at once would be a storm.
+  // The instance that watches learns of it from its next answer and passes it
+  // on; a list by every instance at once would overload the registry.
   if (State == Phase::Watching && !Waiting)
     startList(now + Patience);
 }
 
-bool RegistryWatcher::contradicts(const ItemPage &list) const {
-  return ListFreshness == Freshness::Current && list.At < CopyAtListStart;
+bool RegistryWatcher::provesOtherHistory(const ItemPage &list) const {
+  return ListFreshness == Freshness::Current && list.At < CacheAtListStart;
 }
 
-/// Without a header the first of a new history is a generation of its own, so
-/// that neighbours can tell it from the old one.
-void RegistryWatcher::rebase(ItemPage &list) {
+/// Without a header the first list of a new history gets a generation of its
+/// own, so that other instances can distinguish it from the old one.
+void RegistryWatcher::adoptRegistryHistory(ItemPage &list) {
   ++Stats.Generations;
   if (HasGenerationHeader) {
     LatestGeneration = list.At.Generation;
@@ -168,14 +170,14 @@
   if (Cache.position() != Position{} &&
       Cache.position().Generation < page.At.Generation)
     ++Stats.Generations;
-  size_t heldBefore = Cache.retainedCount();
+  size_t retainedBefore = Cache.retainedCount();
   appendEvents(Cache.replaceAll(page, Faults), out);
-  if (Cache.retainedCount() > heldBefore) {
-    HeldSince = now;
+  if (Cache.retainedCount() > retainedBefore) {
+    RetainedSince = now;
     RetainOperatorSettingsUntil = now + Times.RetainOperatorSettingsFor;
   }
   OperatorsHaveWritten = false;
-  // Without a header the neighbours' word for it is all there is.
+  // Without a header, the other instances' generation is the only source.
   if (!HasGenerationHeader && LatestGeneration)
     LatestGeneration = Cache.position().Generation;
 }
@@ -185,8 +187,9 @@
     RetainOperatorSettingsUntil = std::min(
         RetainOperatorSettingsUntil, at + Times.OperatorSettingsFollowWithin);
   const std::pair<RetainedItems, Time> ends[] = {
-      {RetainedItems::Registrations, HeldSince + Times.RetainRegistrationsFor},
-      {RetainedItems::Instances, HeldSince + Times.RetainInstancesFor},
+      {RetainedItems::Registrations,
+       RetainedSince + Times.RetainRegistrationsFor},
+      {RetainedItems::Instances, RetainedSince + Times.RetainInstancesFor},
       {RetainedItems::OperatorSettings, RetainOperatorSettingsUntil}};
   for (const auto &[kind, until] : ends) {
     if (at < until)
@@ -197,22 +200,22 @@
   }
 }
 
-void RegistryWatcher::takeStart(const RegistryAnswer &answer, Time now,
-                                std::vector<token::Event> &out) {
+void RegistryWatcher::handleStartAnswer(const RegistryAnswer &answer, Time now,
+                                        std::vector<token::Event> &out) {
   bool absent = answer.Status == HttpNotFound;
   if (answer.Status != HttpOk && !absent)
-    return failed(answer.Status, now);
+    return handleFailure(answer.Status, now);
   Retry = Times.RetryMin;
   DueAt = now;
   std::vector<Change> changes;
   auto taken = Start.handleAnswer(absent ? std::string() : answer.Body,
                                   generationOf(answer), Cache, Faults, changes);
   if (!taken) {
-    // The list says it all once more.
+    // The list that follows contains everything again.
     ++Stats.BadAnswers;
     Faults.add({.File = "registry answer"}, taken.error());
   }
-  // What a neighbour told is as good as the directory.
+  // What another instance provided is as good as the directory.
   bool directory = !changes.empty() && changes.front().Source.Key.empty();
   if (!Seeded || !directory)
     appendEvents(std::move(changes), out);
@@ -225,38 +228,39 @@
 
 void RegistryWatcher::beginFirstList(Time now) {
   State = Phase::Listing;
-  Duration spread = Start.listDelayMax();
-  if (spread == Duration::zero())
+  Duration delayMax = Start.listDelayMax();
+  if (delayMax == Duration::zero())
     return;
-  // A few list at once, and the others hear of it from there: so what they
-  // read has to prove something.
+  // A few instances list at once and pass the result on to the others, so their
+  // lists have to be current.
   std::uniform_real_distribution<double> uniform(0, 1);
   if (uniform(Random) < Start.earlyListShare())
     return;
   ListFreshness = Freshness::MayBeStale;
-  // In case the others don't hear, one of a thousand begins, and twice as many
-  // in each further tenth of the time.
+  // In case no push arrives, one instance in a thousand lists first, and twice
+  // as many in each further tenth of the time.
   constexpr double Doublings = 10;
   double wait = std::max(0.0, 1 + std::log2(uniform(Random)) / Doublings);
-  DueAt = now + std::chrono::duration_cast<Duration>(spread * wait);
+  DueAt = now + std::chrono::duration_cast<Duration>(delayMax * wait);
 }
 
-void RegistryWatcher::failed(int status, Time now) {
+void RegistryWatcher::handleFailure(int status, Time now) {
   ++Stats.Failures;
   if (status == HttpTooMany || status == HttpUnavailable)
     ++Stats.Refused;
   std::uniform_real_distribution<double> jitter(0.75, 1.25);
   DueAt = now + std::chrono::duration_cast<Duration>(Retry * jitter(Random));
   Retry = std::min(Retry * 2, RetryMax);
-  // A watch that was cut may have missed changes before its history went.
-  if (State != Phase::Starting && !AskedForPage && status == 0)
+  // A watch that failed may have missed changes that the registry's history no
+  // longer holds.
+  if (State != Phase::Starting && !LastCallWasList && status == 0)
     startList(DueAt);
 }
 
 void RegistryWatcher::startList(Time at) {
   State = Phase::Listing;
   ListFreshness = Freshness::Current;
-  Reviewing = false;
+  Relisting = false;
   After.clear();
   DueAt = at;
 }
@@ -270,12 +274,12 @@
   out.emplace_back(token::NewsChecked{.CurrentAt = at});
 }
 
-bool RegistryWatcher::takeList(ItemPage page, Time now,
-                               std::vector<token::Event> &out) {
+bool RegistryWatcher::handleListPage(ItemPage page, Time now,
+                                     std::vector<token::Event> &out) {
   if (ListFreshness == Freshness::MayBeStale)
     page.markMayBeStale();
-  // Pages are no snapshot: changes between them are seen by the watch, which
-  // starts at the first page's revision.
+  // Pages are not a snapshot: the watch, which starts at the first page's
+  // revision, reports changes between them.
   if (After.empty())
     Pages.At = page.At;
   if (page.At.Generation != Pages.At.Generation) {
@@ -285,16 +289,16 @@
   Pages.Items.insert(Pages.Items.end(), page.Items.begin(), page.Items.end());
   if (page.More && !page.Items.empty()) {
     After = page.Items.back().Key;
-    // The first list of a large deployment takes seconds where all instances
-    // ask for it at once. What is known already serves callers meanwhile.
+    // The first list of a large deployment takes seconds if all instances
+    // request it at once. What is known already serves callers meanwhile.
     if (!Complete)
       appendEvents(Cache.applyPartial(page, Faults), out);
     return false;
   }
-  if (contradicts(Pages))
-    rebase(Pages);
+  if (provesOtherHistory(Pages))
+    adoptRegistryHistory(Pages);
   replaceCache(Pages, now, out);
-  // An old read from before a restore is no list of this generation.
+  // A stale read from before a restore is no list of this generation.
   if (Pages.At.Generation < Cache.position().Generation) {
     startList(now);
     return false;
@@ -307,7 +311,7 @@
   return current;
 }
 
-/// Everything is known, from a list or, the first time, from another instance.
+/// All items are known, from a list or, the first time, from another instance.
 void RegistryWatcher::beginWatching(Time now, std::vector<token::Event> &out) {
   if (!Complete)
     endUnlistedServers(out);
@@ -318,14 +322,14 @@
   LastList = now;
   Pages = {};
   After.clear();
-  Reviewing = false;
+  Relisting = false;
   State = Phase::Watching;
 }
 
-/// The directory may name servers that had ended before the list; no item of
-/// the copy stands for them, so no change will tell of their end. Where the
-/// list is the older of the two, the next changes name them again, long before
-/// a missing server is taken for gone.
+/// The directory may name servers that ended before the list. No cached item
+/// stands for them, so no change will report their end. If the list is the
+/// older of the two, the next changes name them again, long before a missing
+/// server is treated as gone.
 void RegistryWatcher::endUnlistedServers(std::vector<token::Event> &out) {
   std::set<token::BackendId> unlisted = Start.directoryServers();
   for (const token::Registration &it : Cache.registrations())
@@ -337,24 +341,24 @@
                                .Unreadable = {}});
 }
 
-void RegistryWatcher::takeChanges(const ItemPage &page, Time now,
-                                  std::vector<token::Event> &out) {
-  bool silent = page.Items.empty();
-  bool skipped = silent && page.At > Cache.position();
+void RegistryWatcher::handleWatchAnswer(const ItemPage &page, Time now,
+                                        std::vector<token::Event> &out) {
+  bool unchanged = page.Items.empty();
+  bool skipped = unchanged && page.At > Cache.position();
   bool restored = page.At.Generation != Cache.position().Generation;
   appendEvents(Cache.apply(page, Faults), out);
   if (skipped || restored) {
     startList(now);
     return;
   }
-  // The registry answers without changes when the wait is over, not before;
-  // with changes it may have answered at once.
-  markCurrent(silent ? std::min(SentAt + Times.PollInterval, now) : SentAt,
+  // The registry answers without changes only when the wait is over; with
+  // changes it may have answered at once.
+  markCurrent(unchanged ? std::min(SentAt + Times.PollInterval, now) : SentAt,
               out);
-  bool review = watches() && (Reviewing || now - LastList >= Times.RelistEvery);
-  if (!review || !Reviewing)
+  bool relist = watches() && (Relisting || now - LastList >= Times.RelistEvery);
+  if (!relist || !Relisting)
     After.clear();
-  Reviewing = review;
+  Relisting = relist;
 }
 
 void RegistryWatcher::revalidate(Time now) {
@@ -373,21 +377,22 @@
     if (auto *routes = std::get_if<token::RouteSet>(&it.Content)) {
       out.emplace_back(token::RoutesLearned{std::move(*routes)});
     } else if (auto *server = std::get_if<token::Registration>(&it.Content)) {
-      // The last item about a server counts: one that lapsed may be back.
+      // The last item about a server counts: a registration that lapsed may be
+      // back.
       std::erase(servers.Ended, server->Id);
       std::erase(servers.Unreadable, server->Id);
       servers.Present.push_back(std::move(*server));
     } else if (auto *ended = std::get_if<RegistrationEnded>(&it.Content)) {
-      forget(servers, ended->Id);
+      eraseServer(servers, ended->Id);
       servers.Ended.push_back(ended->Id);
     } else if (auto *bad = std::get_if<RegistrationUnreadable>(&it.Content)) {
-      forget(servers, bad->Id);
+      eraseServer(servers, bad->Id);
       servers.Unreadable.push_back(bad->Id);
     } else if (auto *record = std::get_if<RouteRecord>(&it.Content)) {
       out.emplace_back(token::PastRoutesLearned{record->Pairs});
       Recorded[record->Part] = std::move(*record);
-    } else if (auto *note = std::get_if<DirectorySummary>(&it.Content)) {
-      StoredDirectory = *note;
+    } else if (auto *summary = std::get_if<DirectorySummary>(&it.Content)) {
+      StoredDirectory = *summary;
     } else if (auto *drain = std::get_if<ZoneDrain>(&it.Content)) {
       out.emplace_back(token::ZoneDrainLearned{.Zone = std::move(drain->Zone),
                                                .Active = drain->Active});
--- a/lib/edge/StartupReads.cpp
+++ b/lib/edge/StartupReads.cpp
@@ -25,20 +25,20 @@
 
 tl::expected<void, std::string>
 StartupReads::handleAnswer(const std::string &body, Generation generation,
-                           RegistryCache &copy, Findings &findings,
+                           RegistryCache &cache, Findings &findings,
                            std::vector<Change> &out) {
   switch (State) {
   case Step::Directory: {
-    auto taken = takeDirectory(body, out);
-    State = Named.empty() ? Step::Done : Step::OperatorSettings;
-    return taken;
+    auto result = handleDirectory(body, out);
+    State = DirectoryServers.empty() ? Step::Done : Step::OperatorSettings;
+    return result;
   }
   case Step::OperatorSettings:
-    return applyOperatorSettings(body, generation, copy, findings, out);
+    return handleOperatorSettings(body, generation, cache, findings, out);
   case Step::PastRoutes:
-    return takePastRoutes(body, generation, copy, findings, out);
+    return handlePastRoutes(body, generation, cache, findings, out);
   case Step::OtherDirectories:
-    return takeOtherDirectories(body, out);
+    return handleOtherDirectories(body, out);
   case Step::Done:
     break;
   }
@@ -46,21 +46,21 @@
 }
 
 tl::expected<void, std::string>
-StartupReads::takePastRoutes(const std::string &body, Generation generation,
-                             RegistryCache &copy, Findings &findings,
-                             std::vector<Change> &out) {
+StartupReads::handlePastRoutes(const std::string &body, Generation generation,
+                               RegistryCache &cache, Findings &findings,
+                               std::vector<Change> &out) {
   State = Step::OtherDirectories;
   auto page = Dialect.parsePage(body);
   if (!page)
     return tl::make_unexpected(page.error());
   page->setGeneration(generation);
   page->markMayBeStale();
-  out = copy.applyPartial(*page, findings);
+  out = cache.applyPartial(*page, findings);
   return {};
 }
 
-tl::expected<void, std::string> StartupReads::applyOperatorSettings(
-    const std::string &body, Generation generation, RegistryCache &copy,
+tl::expected<void, std::string> StartupReads::handleOperatorSettings(
+    const std::string &body, Generation generation, RegistryCache &cache,
     Findings &findings, std::vector<Change> &out) {
   State = Step::PastRoutes;
   if (body.empty())
@@ -71,7 +71,7 @@
   page->setGeneration(generation);
   if (!OperatorSettings.Items.empty() &&
       OperatorSettings.At.Generation != generation) {
-    // Pages of two generations are no whole.
+    // Pages of two generations are no consistent whole.
     OperatorSettings = {};
     State = Step::OperatorSettings;
     return {};
@@ -84,14 +84,15 @@
     State = Step::OperatorSettings;
     return {};
   }
-  out = copy.applyOperatorSettings(OperatorSettings, findings);
+  out = cache.applyOperatorSettings(OperatorSettings, findings);
   return {};
 }
 
-/// The servers become changes without an item: the copy holds only what the
-/// registry has told.
+/// The servers become changes without an item: the cache holds only items of
+/// the registry.
 tl::expected<void, std::string>
-StartupReads::takeDirectory(const std::string &body, std::vector<Change> &out) {
+StartupReads::handleDirectory(const std::string &body,
+                              std::vector<Change> &out) {
   if (body.empty())
     return {};
   auto item = Dialect.parseItem(body);
@@ -100,23 +101,23 @@
   return addServers(*item, out);
 }
 
-/// A part that can't be read leaves the others as they are.
+/// A part that can't be parsed does not affect the others.
 tl::expected<void, std::string>
-StartupReads::takeOtherDirectories(const std::string &body,
-                                   std::vector<Change> &out) {
+StartupReads::handleOtherDirectories(const std::string &body,
+                                     std::vector<Change> &out) {
   State = Step::Done;
   auto page = Dialect.parsePage(body);
   if (!page)
     return tl::make_unexpected(page.error());
-  tl::expected<void, std::string> taken;
+  tl::expected<void, std::string> result;
   for (const Item &it : page->Items) {
     LastPart = it.Key;
     if (auto one = addServers(it, out); !one)
-      taken = one;
+      result = one;
   }
   if (page->More && !page->Items.empty())
     State = Step::OtherDirectories;
-  return taken;
+  return result;
 }
 
 tl::expected<void, std::string>
@@ -126,7 +127,7 @@
     return tl::make_unexpected(std::string(reasonName(directory.error())));
   Instances = std::max(Instances, directory->Instances);
   for (token::Registration &it : directory->Servers)
-    if (Named.insert(it.Id).second)
+    if (DirectoryServers.insert(it.Id).second)
       out.push_back({.Source = {}, .Content = std::move(it)});
   return {};
 }
@@ -139,14 +140,15 @@
 Duration StartupReads::callDelayMax() const {
   if (State != Step::OtherDirectories || !LastPart.empty())
     return Duration::zero();
-  auto pairs = static_cast<int64_t>(Instances * Named.size());
+  auto pairs = static_cast<int64_t>(Instances * DirectoryServers.size());
   return std::min<Duration>(ListDelayMax, std::chrono::duration_cast<Duration>(
                                               OtherPartsDelayPerPair * pairs));
 }
 
 Duration StartupReads::listDelayMax() const {
   return std::min(ListDelayMax,
-                  ListDelayPerServer * static_cast<int64_t>(Named.size()));
+                  ListDelayPerServer *
+                      static_cast<int64_t>(DirectoryServers.size()));
 }
 
 } // namespace chicory::edge
