--- a/include/chicorybank/edge/Registry.h
+++ b/include/chicorybank/edge/Registry.h
@@ -99,20 +99,20 @@
 /// The maximum number of items that hold the history of route targets. A change
 /// rewrites one of them, about 12 kB at 5,700 addresses. One transaction has
 /// room for this many writes with their conditions.
-inline constexpr uint32_t RouteRecordParts = 16;
+inline constexpr uint32_t MaxRouteHistoryParts = 16;
 
-/// One part of that history (`RouteLedger.h`).
-struct RouteRecord {
+/// One part of that history (`RouteHistory.h`).
+struct RouteHistoryPart {
   uint32_t Part = 0;
   std::vector<token::RoutePair> Pairs;
   /// Where the item was written; revision zero if there is none.
   Position At;
 
-  bool operator==(const RouteRecord &) const = default;
+  bool operator==(const RouteHistoryPart &) const = default;
 };
 
 /// The parts that the registry holds, by number.
-using RouteRecords = std::map<uint32_t, RouteRecord>;
+using RouteHistoryParts = std::map<uint32_t, RouteHistoryPart>;
 
 /// Checksums by availability zone; zero for a zone without an entry.
 using ZoneDigests = std::map<std::string, uint64_t>;
@@ -143,7 +143,7 @@
 using ItemContent =
     std::variant<std::monostate, token::RouteSet, token::Registration,
                  RegistrationEnded, RegistrationUnreadable, PeerRecord,
-                 RouteRecord, DirectorySummary, ZoneDrain>;
+                 RouteHistoryPart, DirectorySummary, ZoneDrain>;
 
 /// The purpose of a call. The costs to the registry differ by kind, so calls
 /// are counted by kind.
@@ -153,12 +153,12 @@
   Lease,               ///< Creates or revokes a lease.
   Renewal,             ///< Renews a lease.
   WriteInstanceRecord, ///< Writes this instance's record.
-  RouteRecord,         ///< Writes the history of route targets.
+  WriteRouteHistory,   ///< Writes the history of route targets.
   OperatorSettings,    ///< Reads what the operators have written, and nothing
-                       ///< else.
-  Directory,           ///< Reads the directory of registrations.
-  PastRoutes,          ///< Reads the history of route targets alone.
-  ReadInstanceRecord,  ///< Reads this instance's record.
+  ///< else.
+  Directory,          ///< Reads the directory of registrations.
+  RouteHistory,       ///< Reads the history of route targets alone.
+  ReadInstanceRecord, ///< Reads this instance's record.
   WriteDirectory,
 };
 inline constexpr size_t CallKindCount = 11;
@@ -206,7 +206,7 @@
   /// answer may be stale.
   virtual RegistryCall readDirectories(const std::string &after) const = 0;
   /// Reads the history of route targets alone; the answer may be stale.
-  virtual RegistryCall readRouteRecords() const = 0;
+  virtual RegistryCall readRouteHistory() const = 0;
   /// Reads an instance's own record.
   virtual RegistryCall readInstanceRecord(InstanceId id,
                                           Freshness freshness) const = 0;
@@ -236,7 +236,7 @@
   /// Writes parts of the history of route targets in one transaction. It fails
   /// unless each item still has the revision that its part names.
   virtual RegistryCall
-  writeRouteRecords(const std::vector<RouteRecord> &records) const = 0;
+  writeRouteHistory(const std::vector<RouteHistoryPart> &records) const = 0;
 
   /// Writes parts of the directory, by zone, and its summary in one
   /// transaction. It fails unless the summary's item still has the revision
--- a/include/chicorybank/edge/RegistryWatcher.h
+++ b/include/chicorybank/edge/RegistryWatcher.h
@@ -7,27 +7,27 @@
 // is current as of some moment; silence proves nothing:
 //
 // - An answer without changes proves that there were none only if the
-//   registry's revision is still that of the cache. A later revision means that
-//   the watch has skipped changes, and everything is listed again.
+// registry's revision is still that of the cache. A later revision means that
+// the watch has skipped changes, and everything is listed again.
 // - The end of a registration is reported only once, so everything is also
-//   listed at regular intervals, a page between two watches: a large list in
-//   one go would delay the updates of all instances for seconds.
+// listed at regular intervals, a page between two watches: a large list in
+// one go would delay the updates of all instances for seconds.
 // - A connection that stops responding ends by its timeout.
 // - The first list may be stale if there was a directory to start with: it
-//   costs the registry a tenth and proves nothing. A current list, or a push
-//   with the same checksum, has to follow before the cache counts as current
-//   and is passed on. While that list waits for its time, everything is read
-//   from the first instance that pushes its updates, so that few lists serve
-//   all instances that start.
+// costs the registry a tenth and proves nothing. A current list, or a push
+// with the same checksum, has to follow before the cache counts as current
+// and is passed on. While that list waits for its time, everything is read
+// from the first instance that pushes its updates, so that few lists serve
+// all instances that start.
 // - The registry may be restored from a backup (`Position.h`). Its answers
-//   state the generation. Content of a later generation than the cache's is
-//   accepted only from a whole list whose pages are all of one generation. If a
-//   list ends at an earlier position than the cache had when the list was
-//   requested, the cache is not of the registry's history, whatever a header or
-//   another instance said: the registry itself decides.
+// state the generation. Content of a later generation than the cache's is
+// accepted only from a whole list whose pages are all of one generation. If a
+// list ends at an earlier position than the cache had when the list was
+// requested, the cache is not of the registry's history, whatever a header or
+// another instance said: the registry itself decides.
 // - If two caches at one revision have different checksums for two poll
-//   intervals, one of them missed a change. Only the registry can tell which,
-//   so everything is listed again.
+// intervals, one of them missed a change. Only the registry can tell which,
+// so everything is listed again.
 
 #ifndef CHICORYBANK_EDGE_REGISTRYWATCHER_H
 #define CHICORYBANK_EDGE_REGISTRYWATCHER_H
@@ -125,7 +125,7 @@
   /// Sets the staleness limit, after which this instance calls the registry by
   /// itself, and the maximum of its back-off. Both grow with the instance's
   /// rank among those that can take over the watch.
-  void setPatience(Duration patience, Duration retryMax);
+  void setStalenessLimit(Duration stalenessLimit, Duration retryMax);
 
   /// Returns the call that is due, if any. It counts as sent.
   std::optional<TimedCall> next(Time now);
@@ -140,7 +140,7 @@
   /// long, so it does not prove that the cache is current. Returns true if the
   /// changes have to be read from the sender; what is read is then as current
   /// as the push was.
-  bool applyPush(const NewsPush &push, bool late, Time now,
+  bool applyPush(const UpdatePush &push, bool late, Time now,
                  std::vector<token::Event> &out);
   /// The cache may be passed on to other instances.
   bool mayPassOn() const { return !Unconfirmed; }
@@ -159,12 +159,12 @@
   /// Returns true if the registry has not answered since the start and the
   /// sender has later items. A sender with a stale cache proves an outage of
   /// the registry as well as a failed call does, and earlier.
-  bool needsSeed(const NewsPush &push) const {
+  bool needsSeed(const UpdatePush &push) const {
     bool failing = Stats.Failures != 0 || push.Age > Times.StaleAfter;
     return !Complete && failing && push.Page.At > Cache.position();
   }
   /// Builds a push with the changes after a position.
-  NewsPush makePush(InstanceId self, Position since, Time now) const;
+  UpdatePush makePush(InstanceId self, Position since, Time now) const;
   /// Lists everything after the process or its machine was suspended, since the
   /// cache may be stale.
   void revalidate(Time now);
@@ -173,7 +173,7 @@
   Findings takeFindings() { return std::exchange(Faults, {}); }
   const std::map<InstanceId, PeerRecord> &peers() const { return Peers; }
   /// Returns the history of route targets, by part.
-  const RouteRecords &routeRecords() const { return Recorded; }
+  const RouteHistoryParts &routeHistory() const { return Recorded; }
   /// Returns the summary of the directory that the registry holds.
   const DirectorySummary &directorySummary() const { return StoredDirectory; }
   /// Everything that a start needs was read.
@@ -224,17 +224,17 @@
   bool firstListIsPending() const {
     return !Complete && State == Phase::Listing && !Waiting && After.empty();
   }
-  bool replacesFirstList(const NewsPush &push) const;
-  bool mustPull(const NewsPush &push) const;
+  bool replacesFirstList(const UpdatePush &push) const;
+  bool mustPull(const UpdatePush &push) const;
   void trackDifference(bool differs, Time now);
   /// The push proves that the list which is due would find nothing.
-  bool confirmsCache(const NewsPush &push) const;
+  bool confirmsCache(const UpdatePush &push) const;
   bool listPageIsNext() const {
     return State == Phase::Listing ||
            (Relisting && !CallNow && PageBeforeWatch);
   }
   /// This instance is the one that watches.
-  bool watches() const { return Patience <= Times.PollInterval; }
+  bool watches() const { return StalenessLimit <= Times.PollInterval; }
 
   void recordGeneration(const RegistryAnswer &answer);
   /// Returns the latest generation if the answer has no header.
@@ -267,7 +267,7 @@
   bool PageBeforeWatch = false;
   /// The last call was for a page of a list.
   bool LastCallWasList = false;
-  Duration Patience;
+  Duration StalenessLimit;
   Duration RetryMax;
   Duration Retry;
   /// There are changes that no other instance could provide.
@@ -287,7 +287,7 @@
   /// The cache's position at that time.
   Position CacheAtListStart;
   std::map<InstanceId, PeerRecord> Peers;
-  RouteRecords Recorded;
+  RouteHistoryParts Recorded;
   DirectorySummary StoredDirectory;
   /// The latest generation that the registry has reported.
   std::optional<Generation> LatestGeneration;
--- a/lib/edge/NewsFromPeers.cpp
+++ b/lib/edge/PeerUpdates.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool RegistryWatcher::applyPush(const NewsPush &push, bool late, Time now,
+bool RegistryWatcher::applyPush(const UpdatePush &push, bool late, Time now,
                                 std::vector<token::Event> &out) {
   ++Stats.Pushes;
   if (!Complete && (late || !replacesFirstList(push)))
@@ -69,7 +69,7 @@
 }
 
 /// The push lacks changes that this copy lacks as well.
-bool RegistryWatcher::mustPull(const NewsPush &push) const {
+bool RegistryWatcher::mustPull(const UpdatePush &push) const {
   return push.Page.At > Cache.position() &&
          (!push.Complete || push.Base > Cache.position());
 }
@@ -78,7 +78,7 @@
 /// each list is megabytes on the registry's link and a call for each of its
 /// pages; one sees that link full for half a minute, and `registry_calls` with
 /// as many lists as there are pages.
-bool RegistryWatcher::replacesFirstList(const NewsPush &push) const {
+bool RegistryWatcher::replacesFirstList(const UpdatePush &push) const {
   return firstListIsPending() && push.Age < Times.StaleAfter &&
          push.Page.At.Generation == LatestGeneration;
 }
@@ -88,7 +88,7 @@
 /// none. Otherwise hundreds would list at once when the registry is back from
 /// an outage; one sees `registry_calls` with lists of each instance, and the
 /// registry's link full.
-bool RegistryWatcher::confirmsCache(const NewsPush &push) const {
+bool RegistryWatcher::confirmsCache(const UpdatePush &push) const {
   bool due = State == Phase::Listing && Complete && !Waiting && After.empty();
   return due && push.Age < Times.StaleAfter && generationIsCurrent() &&
          push.Page.At == Cache.position() && push.Digest == Cache.digest();
@@ -126,12 +126,12 @@
     out.emplace_back(token::BackendsComplete{});
 }
 
-NewsPush RegistryWatcher::makePush(InstanceId self, Position since,
-                                   Time now) const {
-  NewsPush out{.Sender = self,
-               .Age = std::min(now - CurrentAt, OldestAge),
-               .Base = since,
-               .Digest = Cache.digest()};
+UpdatePush RegistryWatcher::makePush(InstanceId self, Position since,
+                                     Time now) const {
+  UpdatePush out{.Sender = self,
+                 .Age = std::min(now - CurrentAt, OldestAge),
+                 .Base = since,
+                 .Digest = Cache.digest()};
   if (auto page = Cache.changesSince(since))
     out.Page = std::move(*page);
   else
--- a/lib/edge/RegistryCache.cpp
+++ b/lib/edge/RegistryCache.cpp
@@ -48,7 +48,7 @@
   }
   uint64_t operator()(const token::Registration &content) const {
     uint64_t out = mixHash(content.Id.Value, content.Where.packed());
-    out = mixHash(out, static_cast<uint64_t>(content.Born));
+    out = mixHash(out, static_cast<uint64_t>(content.StartedAtMs));
     return mixHash(out, content.Service.Value * 2 + (content.Draining ? 1 : 0));
   }
   uint64_t operator()(const RegistrationUnreadable &content) const {
@@ -59,7 +59,7 @@
     return mixHash(content.Id.Value,
                    content.PeerAddress.packed() * 2 + content.Leaving);
   }
-  uint64_t operator()(const RouteRecord &content) const {
+  uint64_t operator()(const RouteHistoryPart &content) const {
     uint64_t out = content.Part;
     for (const token::RoutePair &it : content.Pairs)
       out = mixHash(mixHash(out, it.Where.packed()), it.Service.Value);
@@ -90,7 +90,7 @@
 /// The route history and the directory are written by this system alone,
 /// according to what the registry holds, so their loss has to be known at once.
 bool mayBeRetained(const ItemContent &content) {
-  return !std::holds_alternative<RouteRecord>(content) &&
+  return !std::holds_alternative<RouteHistoryPart>(content) &&
          !std::holds_alternative<DirectorySummary>(content);
 }
 
--- a/lib/edge/RegistryWatcher.cpp
+++ b/lib/edge/RegistryWatcher.cpp
@@ -24,11 +24,12 @@
                                  WatcherTimes times, uint64_t seed,
                                  std::string zone)
     : Times(times), Dialect(dialect), Random(seed), Cache(dialect),
-      Start(dialect, std::move(zone)), Patience(times.PollInterval),
+      Start(dialect, std::move(zone)), StalenessLimit(times.PollInterval),
       RetryMax(times.RetryMax), Retry(times.RetryMin) {}
 
-void RegistryWatcher::setPatience(Duration patience, Duration retryMax) {
-  Patience = patience;
+void RegistryWatcher::setStalenessLimit(Duration stalenessLimit,
+                                        Duration retryMax) {
+  StalenessLimit = stalenessLimit;
   RetryMax = std::max(retryMax, Times.RetryMin);
 }
 
@@ -41,7 +42,8 @@
     return std::max(DueAt, WatchedAt + Times.PollInterval);
   // After a list that may be stale, a push of the instance that watches is
   // about to arrive.
-  return std::max({DueAt, CurrentAt + Patience, LastList + Patience});
+  return std::max(
+      {DueAt, CurrentAt + StalenessLimit, LastList + StalenessLimit});
 }
 
 std::optional<TimedCall> RegistryWatcher::next(Time now) {
@@ -146,7 +148,7 @@
   // The instance that watches learns of it from its next answer and passes it
   // on; a list by every instance at once would overload the registry.
   if (State == Phase::Watching && !Waiting)
-    startList(now + Patience);
+    startList(now + StalenessLimit);
 }
 
 bool RegistryWatcher::provesOtherHistory(const ItemPage &list) const {
@@ -246,7 +248,7 @@
 
 void RegistryWatcher::handleFailure(int status, Time now) {
   ++Stats.Failures;
-  if (status == HttpTooMany || status == HttpUnavailable)
+  if (status == HttpTooManyRequests || status == HttpUnavailable)
     ++Stats.Refused;
   std::uniform_real_distribution<double> jitter(0.75, 1.25);
   DueAt = now + std::chrono::duration_cast<Duration>(Retry * jitter(Random));
@@ -271,7 +273,7 @@
   CurrentAt = at;
   if (Cache.retainedCount() != 0)
     expireRetained(at, out);
-  out.emplace_back(token::NewsChecked{.CurrentAt = at});
+  out.emplace_back(token::FreshnessUpdated{.CurrentAt = at});
 }
 
 bool RegistryWatcher::handleListPage(ItemPage page, Time now,
@@ -388,7 +390,7 @@
     } else if (auto *bad = std::get_if<RegistrationUnreadable>(&it.Content)) {
       eraseServer(servers, bad->Id);
       servers.Unreadable.push_back(bad->Id);
-    } else if (auto *record = std::get_if<RouteRecord>(&it.Content)) {
+    } else if (auto *record = std::get_if<RouteHistoryPart>(&it.Content)) {
       out.emplace_back(token::PastRoutesLearned{record->Pairs});
       Recorded[record->Part] = std::move(*record);
     } else if (auto *summary = std::get_if<DirectorySummary>(&it.Content)) {
--- a/lib/edge/StartupReads.cpp
+++ b/lib/edge/StartupReads.cpp
@@ -16,11 +16,11 @@
     return Dialect.readDirectory(Zone);
   case Step::OtherDirectories:
     return Dialect.readDirectories(LastPart);
-  case Step::PastRoutes:
+  case Step::RouteHistory:
   case Step::Done:
     break;
   }
-  return Dialect.readRouteRecords();
+  return Dialect.readRouteHistory();
 }
 
 tl::expected<void, std::string>
@@ -35,8 +35,8 @@
   }
   case Step::OperatorSettings:
     return handleOperatorSettings(body, generation, cache, findings, out);
-  case Step::PastRoutes:
-    return handlePastRoutes(body, generation, cache, findings, out);
+  case Step::RouteHistory:
+    return handleRouteHistory(body, generation, cache, findings, out);
   case Step::OtherDirectories:
     return handleOtherDirectories(body, out);
   case Step::Done:
@@ -46,9 +46,9 @@
 }
 
 tl::expected<void, std::string>
-StartupReads::handlePastRoutes(const std::string &body, Generation generation,
-                               RegistryCache &cache, Findings &findings,
-                               std::vector<Change> &out) {
+StartupReads::handleRouteHistory(const std::string &body, Generation generation,
+                                 RegistryCache &cache, Findings &findings,
+                                 std::vector<Change> &out) {
   State = Step::OtherDirectories;
   auto page = Dialect.parsePage(body);
   if (!page)
@@ -62,7 +62,7 @@
 tl::expected<void, std::string> StartupReads::handleOperatorSettings(
     const std::string &body, Generation generation, RegistryCache &cache,
     Findings &findings, std::vector<Change> &out) {
-  State = Step::PastRoutes;
+  State = Step::RouteHistory;
   if (body.empty())
     return {};
   auto page = Dialect.parsePage(body);
--- a/tests/RegistryWatcherTest.cpp
+++ b/tests/RegistryWatcherTest.cpp
@@ -74,14 +74,14 @@
     WatcherFixture two;
     one.step(store);
     two.step(store);
-    two.Watcher.setPatience(1s, 1s);
+    two.Watcher.setStalenessLimit(1s, 1s);
     for (int n = 0; n < 10; ++n) {
       one.Now += 600ms;
       two.Now = one.Now;
       store.server(1, "ready", n + 2);
       store.config(n + 1);
       one.step(store);
-      NewsPush push = one.Watcher.makePush(
+      UpdatePush push = one.Watcher.makePush(
           InstanceId{1}, two.Watcher.cache().position(), one.Now);
       expectTrue(!two.Watcher.applyPush(push, false, two.Now, two.Events),
                  "the push is enough");
@@ -106,11 +106,11 @@
     WatcherFixture reading;
     reading.step(store);
     reading.Now += 2s;
-    reading.take<token::NewsChecked>();
+    reading.take<token::FreshnessUpdated>();
     store.config(9);
     reading.Watcher.next(reading.Now);
     reading.answer({.Status = Ok, .Body = bareBody({.At = store.position()})});
-    expectTrue(reading.take<token::NewsChecked>().empty(),
+    expectTrue(reading.take<token::FreshnessUpdated>().empty(),
                "silence does not show current news");
     expectEqual<std::string>("/-/kv-range?prefix=", reading.step(store));
     expectTrue(reading.take<token::RoutesLearned>().back().Routes.Version ==
@@ -280,7 +280,7 @@
       slept.fail(Gone);
       slept.step(store);
       saw.Now = slept.Now;
-      NewsPush push = slept.Watcher.makePush(
+      UpdatePush push = slept.Watcher.makePush(
           InstanceId{2}, saw.Watcher.cache().position(), saw.Now);
       saw.take<token::BackendsLearned>();
       saw.Watcher.applyPush(push, false, saw.Now, saw.Events);
@@ -289,7 +289,7 @@
                  "server 2 is back");
     });
     section("a copy that differs all the same is not copied", [&] {
-      NewsPush push =
+      UpdatePush push =
           slept.Watcher.makePush(InstanceId{2}, store.position(), saw.Now);
       push.Digest ^= 1;
       saw.Now += 2s;
@@ -313,7 +313,7 @@
     for (int n = 0; n < 10; ++n) {
       reading.Now += 500ms;
       peer.Now = reading.Now;
-      NewsPush push =
+      UpdatePush push =
           peer.Watcher.makePush(InstanceId{2}, store.position(), reading.Now);
       push.Age = 0s;
       push.Digest ^= n % 2 == 0 ? 1 : 0;
@@ -330,7 +330,7 @@
     reading.step(store);
     Time before = reading.Watcher.currentAt();
     reading.Now += 300ms;
-    NewsPush push{.Sender = InstanceId{2}, .Base = store.position()};
+    UpdatePush push{.Sender = InstanceId{2}, .Base = store.position()};
     push.Page.At = store.position();
     push.Page.At.Revision += 5;
     push.Complete = false;
@@ -356,7 +356,7 @@
     store.server(1);
     WatcherFixture reading;
     reading.step(store);
-    reading.Watcher.setPatience(10s, 1s);
+    reading.Watcher.setStalenessLimit(10s, 1s);
     reading.Now += 100ms;
     expectEqual<std::string>("", reading.step(store));
     store.config(7);
@@ -377,7 +377,7 @@
     store.config(4);
     store.server(1);
     auto pushed = [&] {
-      NewsPush push{.Sender = InstanceId{2}};
+      UpdatePush push{.Sender = InstanceId{2}};
       push.Page.At = store.position();
       return push;
     };
@@ -385,7 +385,7 @@
     expectTrue(!reading.Watcher.needsSeed(pushed()),
                "the registry is asked first");
     section("unless a sender's stale news shows that it is away", [&] {
-      NewsPush stale = pushed();
+      UpdatePush stale = pushed();
       stale.Age = 1600ms;
       expectTrue(reading.Watcher.needsSeed(stale), "no need to wait");
     });
@@ -397,14 +397,14 @@
       expectTrue(reading.take<token::BackendsComplete>().size() == 1,
                  "all is known");
       reading.Events = events;
-      expectTrue(reading.take<token::NewsChecked>().empty(),
+      expectTrue(reading.take<token::FreshnessUpdated>().empty(),
                  "nobody knows how old it is");
       expectTrue(!reading.Watcher.needsSeed(pushed()), "there is no more");
       expectTrue(reading.Watcher.hasAllItems() && !reading.Watcher.complete(),
                  "it may tell others who start");
     });
     section("its own pushes can be read, and serve those that start", [&] {
-      NewsPush own = reading.Watcher.makePush(InstanceId{3}, {}, reading.Now);
+      UpdatePush own = reading.Watcher.makePush(InstanceId{3}, {}, reading.Now);
       auto read = decodePush(encodePush(own));
       expectTrue(read.has_value(), "however old its news is");
       expectTrue(WatcherFixture().Watcher.needsSeed(*read),
@@ -421,7 +421,8 @@
       expectTrue(!reading.Watcher.needsSeed(pushed()),
                  "peers push from now on");
       auto events = reading.Events;
-      expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
+      expectTrue(reading.take<token::FreshnessUpdated>().size() == 1,
+                 "current");
       reading.Events = events;
       expectTrue(reading.take<token::BackendsComplete>().empty(), "told once");
     });
@@ -437,7 +438,7 @@
     reading.step(store);
     Time before = reading.Watcher.currentAt();
     reading.Now += 4s;
-    NewsPush push = reading.Watcher.makePush(InstanceId{2}, {}, reading.Now);
+    UpdatePush push = reading.Watcher.makePush(InstanceId{2}, {}, reading.Now);
     push.Age = 10ms;
     reading.Watcher.applyPush(push, true, reading.Now, reading.Events);
     expectTrue(reading.Watcher.currentAt() == before, "no proof");
@@ -516,7 +517,7 @@
     WatcherFixture reading;
     reading.start(store);
     reading.take<token::BackendsLearned>();
-    NewsPush push = peer.Watcher.makePush(
+    UpdatePush push = peer.Watcher.makePush(
         InstanceId{1}, peer.Watcher.cache().position(), peer.Now);
     expectTrue(
         !reading.Watcher.applyPush(push, true, reading.Now, reading.Events),
@@ -556,7 +557,7 @@
       reading.Now += 1s;
       store.server(static_cast<uint64_t>(n));
       peer.step(store);
-      NewsPush push = peer.Watcher.makePush(InstanceId{1}, at(n), peer.Now);
+      UpdatePush push = peer.Watcher.makePush(InstanceId{1}, at(n), peer.Now);
       push.Age = 100ms;
       push.Complete = false;
       push.Page.Items.clear();
@@ -574,7 +575,7 @@
       peer.Now += 1s;
       store.server(7);
       peer.step(store);
-      NewsPush push = peer.Watcher.makePush(InstanceId{1}, at(7), peer.Now);
+      UpdatePush push = peer.Watcher.makePush(InstanceId{1}, at(7), peer.Now);
       push.Complete = false;
       reading.Now += 1s;
       reading.Watcher.applyPush(push, true, reading.Now, reading.Events);
@@ -610,7 +611,7 @@
     expectTrue(reading.Watcher.started(), "that is all");
     expectTrue(reading.take<token::BackendsComplete>().empty(),
                "it may lack servers");
-    expectTrue(reading.take<token::NewsChecked>().empty(),
+    expectTrue(reading.take<token::FreshnessUpdated>().empty(),
                "and shows nothing to be current");
     section("the list comes within a share of the time for all lists", [&] {
       reading.Now += 2 * StartupReads::ListDelayPerServer;
@@ -626,7 +627,7 @@
     WatcherFixture reading;
     reading.start(store);
     expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
-    expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
+    expectTrue(reading.take<token::FreshnessUpdated>().size() == 1, "current");
   }
 
   // Symptom: a dropped route is served, or a server taken for ended, seconds
@@ -642,7 +643,7 @@
     reading.Now += 1s;
     reading.stepOnce(old);
     auto events = reading.Events;
-    expectTrue(reading.take<token::NewsChecked>().empty(), "no proof");
+    expectTrue(reading.take<token::FreshnessUpdated>().empty(), "no proof");
     reading.Events = events;
     auto routes = reading.take<token::RoutesLearned>();
     expectTrue(routes.size() == 1 && routes[0].Routes.Version == RuleVersion{4},
@@ -652,7 +653,8 @@
     section("a list that is current follows", [&] {
       expectTrue(!reading.Watcher.mayPassOn(), "nobody is told until then");
       expectEqual<std::string>("/-/kv-range?prefix=", reading.stepOnce(store));
-      expectTrue(reading.take<token::NewsChecked>().size() == 1, "current");
+      expectTrue(reading.take<token::FreshnessUpdated>().size() == 1,
+                 "current");
       expectTrue(reading.Watcher.mayPassOn(), "and others may be told");
     });
   }
@@ -685,7 +687,7 @@
   void waitsForNewsAfterAnOldList() {
     Store store = withDirectory();
     WatcherFixture reading;
-    reading.Watcher.setPatience(1500ms, 1s);
+    reading.Watcher.setStalenessLimit(1500ms, 1s);
     reading.start(store);
     reading.Now += 100ms;
     reading.stepOnce(store);
@@ -759,21 +761,22 @@
     store.server(1, "ready", 2);
     WatcherFixture late;
     late.step(store);
-    NewsPush push =
+    UpdatePush push =
         late.Watcher.makePush(InstanceId{2}, store.position(), late.Now);
     expectTrue(push.Base > early.Watcher.cache().position(), "a gap");
     early.Now += 100ms;
-    early.take<token::NewsChecked>();
+    early.take<token::FreshnessUpdated>();
     expectTrue(!early.Watcher.applyPush(push, false, early.Now, early.Events),
                "nothing has to be read");
     expectTrue(early.Watcher.cache().position() == store.position(),
                "it is as of that revision");
-    expectTrue(early.take<token::NewsChecked>().size() == 1, "and current");
+    expectTrue(early.take<token::FreshnessUpdated>().size() == 1,
+               "and current");
     section("not where a server drains in between", [&] {
       store.server(1, "draining");
       WatcherFixture third;
       third.step(store);
-      NewsPush drained =
+      UpdatePush drained =
           third.Watcher.makePush(InstanceId{3}, store.position(), third.Now);
       expectTrue(
           early.Watcher.applyPush(drained, false, early.Now, early.Events),
@@ -791,7 +794,7 @@
     store.server(1);
     WatcherFixture reading;
     reading.step(store);
-    reading.Watcher.setPatience(1500ms, 1s);
+    reading.Watcher.setStalenessLimit(1500ms, 1s);
     WatcherFixture first;
     first.step(store);
     auto failing = [&] {
@@ -801,7 +804,7 @@
       first.Now = reading.Now;
     };
     failing();
-    NewsPush push =
+    UpdatePush push =
         first.Watcher.makePush(InstanceId{2}, store.position(), first.Now);
     push.Age = 100ms;
     reading.Watcher.applyPush(push, false, reading.Now, reading.Events);
@@ -856,7 +859,7 @@
             RC_ASSERT(routes->Routes.Version.Value > highest);
             highest = routes->Routes.Version.Value;
           }
-        bool current = !reading.take<token::NewsChecked>().empty();
+        bool current = !reading.take<token::FreshnessUpdated>().empty();
         if (!current)
           continue;
         RC_ASSERT(highest == static_cast<uint64_t>(version));
--- a/tests/RestoreModel.h
+++ b/tests/RestoreModel.h
@@ -10,10 +10,10 @@
 
 #include "RegistrySamples.h"
 
-#include "chicorybank/edge/Announcer.h"
 #include "chicorybank/edge/DirectoryWriter.h"
-#include "chicorybank/edge/NewsSpread.h"
-#include "chicorybank/edge/RouteRecorder.h"
+#include "chicorybank/edge/InstanceRegistrar.h"
+#include "chicorybank/edge/PropagationTree.h"
+#include "chicorybank/edge/RouteHistoryWriter.h"
 
 #include <deque>
 #include <memory>
@@ -165,7 +165,7 @@
                  {}),
           Recorder(Dialect), Directory(Dialect),
           Spread({.Self = Id, .Zone = zone(n), .Seed = seed}), Since(now) {
-      Watcher.setPatience(Spread.patience(), Spread.retryMost());
+      Watcher.setStalenessLimit(Spread.stalenessLimit(), Spread.retryMax());
     }
     static std::string zone(size_t n) {
       return std::string(1, static_cast<char>('a' + n % 3));
@@ -174,10 +174,10 @@
     std::string Name;
     platform::StoreDialect Dialect;
     RegistryWatcher Watcher;
-    Announcer Record;
-    RouteRecorder Recorder;
+    InstanceRegistrar Record;
+    RouteHistoryWriter Recorder;
     DirectoryWriter Directory;
-    NewsSpread Spread;
+    PropagationTree Spread;
     Time Since;
     Time CutUntil;
     Time AloneUntil;
@@ -325,10 +325,10 @@
                     it.Watcher.generationIsCurrent();
     if (!mayWrite)
       return;
-    if (auto call = it.Recorder.next(it.Spread.patience(), Now))
+    if (auto call = it.Recorder.next(it.Spread.stalenessLimit(), Now))
       it.Recorder.answered(change(it, *call), Now);
-    if (auto call =
-            it.Directory.next(it.Watcher.cache(), it.Spread.patience(), Now))
+    if (auto call = it.Directory.next(it.Watcher.cache(),
+                                      it.Spread.stalenessLimit(), Now))
       it.Directory.answered(change(it, *call), Now);
   }
 
@@ -375,15 +375,16 @@
     if (it.Watcher.peers() != it.Known) {
       it.Known = it.Watcher.peers();
       it.Spread.learn(it.Known);
-      it.Watcher.setPatience(it.Spread.patience(), it.Spread.retryMost());
+      it.Watcher.setStalenessLimit(it.Spread.stalenessLimit(),
+                                   it.Spread.retryMax());
     }
     auto own = it.Known.find(it.Id);
-    it.Record.seen(own == it.Known.end() ? nullptr : &own->second,
-                   it.Watcher.currentAt());
+    it.Record.checkRecord(own == it.Known.end() ? nullptr : &own->second,
+                          it.Watcher.currentAt());
     if (const token::RouteSet *now = it.Watcher.cache().routes(); now && routes)
       it.Recorder.learn(*now, Now);
     if (routes)
-      it.Recorder.learn(it.Watcher.routeRecords(), 60s, Now);
+      it.Recorder.learn(it.Watcher.routeHistory(), 60s, Now);
     it.Directory.learn(it.Watcher.cache(), it.Watcher.directorySummary(), Now);
   }
 
@@ -411,7 +412,7 @@
       return;
     if (from.PushedTo == Position{})
       from.PushedTo = from.Watcher.cache().position();
-    NewsPush push = from.Watcher.makePush(from.Id, from.PushedTo, Now);
+    UpdatePush push = from.Watcher.makePush(from.Id, from.PushedTo, Now);
     from.PushedTo = from.Watcher.cache().position();
     from.PushedAsOf = from.Watcher.currentAt();
     for (Address target : from.Spread.targets(asked))
@@ -423,7 +424,7 @@
     return Now >= a.AloneUntil && Now >= b.AloneUntil && Now >= b.FrozenUntil;
   }
 
-  void receive(Instance &it, Instance &from, const NewsPush &push) {
+  void receive(Instance &it, Instance &from, const UpdatePush &push) {
     std::vector<token::Event> events;
     if (it.Watcher.needsSeed(push)) {
       it.Watcher.applySeed(from.Watcher.cache().snapshot(), events);
--- a/tests/RestoreTest.cpp
+++ b/tests/RestoreTest.cpp
@@ -185,7 +185,8 @@
     reading.Now += 500ms;
     expectTrue(reading.stepOnce(it.Content).starts_with("/-/kv-watch"),
                "a watch, which is answered");
-    expectTrue(reading.take<token::NewsChecked>().empty(), "shows nothing");
+    expectTrue(reading.take<token::FreshnessUpdated>().empty(),
+               "shows nothing");
     expectEqual<std::string>("/-/kv-range?prefix=",
                              reading.stepOnce(it.Content));
     expectTrue(versions(reading) == std::vector<uint64_t>{23}, "version 23");
@@ -198,15 +199,16 @@
     it.pass(1s);
     it.Fixture.Events.clear();
     it.Fixture.Now += 100ms;
-    NewsPush push = former.Watcher.makePush(InstanceId{9}, {}, it.Fixture.Now);
+    UpdatePush push =
+        former.Watcher.makePush(InstanceId{9}, {}, it.Fixture.Now);
     push.Age = 1ms;
     expectTrue(!it.Fixture.Watcher.applyPush(push, false, it.Fixture.Now,
                                              it.Fixture.Events),
                "there is nothing to read there");
-    expectTrue(it.Fixture.take<token::NewsChecked>().empty(), "no proof");
+    expectTrue(it.Fixture.take<token::FreshnessUpdated>().empty(), "no proof");
     expectEqual<uint64_t>(1, it.Fixture.Watcher.stats().OtherGenerations);
     section("the other way round, everything has to be read", [&] {
-      NewsPush later =
+      UpdatePush later =
           it.Fixture.Watcher.makePush(InstanceId{8}, {}, it.Fixture.Now);
       expectTrue(
           former.Watcher.applyPush(later, false, it.Fixture.Now, former.Events),
--- a/tests/StartModel.h
+++ b/tests/StartModel.h
@@ -11,7 +11,7 @@
 
 #include "RegistrySamples.h"
 
-#include "chicorybank/edge/NewsSpread.h"
+#include "chicorybank/edge/PropagationTree.h"
 
 #include <algorithm>
 #include <functional>
@@ -67,7 +67,8 @@
     if (Options.Peers)
       for (const auto &it : Instances) {
         it->Spread.learn(records);
-        it->Watcher.setPatience(it->Spread.patience(), it->Spread.retryMost());
+        it->Watcher.setStalenessLimit(it->Spread.stalenessLimit(),
+                                      it->Spread.retryMax());
       }
   }
 
@@ -96,7 +97,7 @@
     InstanceId Id;
     platform::StoreDialect Dialect;
     RegistryWatcher Watcher;
-    NewsSpread Spread;
+    PropagationTree Spread;
     bool Reads = false;
     bool Complete = false;
     Time StartedAt;
@@ -181,7 +182,7 @@
   void push(Instance &from, bool asked, Time now) {
     if (!from.Watcher.mayPassOn())
       return;
-    NewsPush push =
+    UpdatePush push =
         from.Watcher.makePush(from.Id, from.Watcher.cache().position(), now);
     for (Address to : from.Spread.targets(asked)) {
       Instance &it = *Instances[to.Ip - 1];
@@ -191,7 +192,8 @@
     }
   }
 
-  void takePush(Instance &it, Instance &from, const NewsPush &push, Time now) {
+  void takePush(Instance &it, Instance &from, const UpdatePush &push,
+                Time now) {
     Time before = it.Watcher.currentAt();
     std::vector<token::Event> events;
     bool behind = it.Watcher.applyPush(push, false, now, events);
