--- a/include/chicorybank/token/Backends.h
+++ b/include/chicorybank/token/Backends.h
@@ -1,5 +1,5 @@
-// The backend servers of all services: where they are, whether they take new
-// flows, whether they are gone, and what this instance has seen of them.
+// The backend servers of all services: their addresses, whether they accept new
+// flows, whether they have ended, and what this instance has observed of them.
 
 #ifndef CHICORYBANK_TOKEN_BACKENDS_H
 #define CHICORYBANK_TOKEN_BACKENDS_H
@@ -15,69 +15,70 @@
 
 namespace chicory::token {
 
-/// Grows from registration to registration. A registry that was restored gives
-/// out its revisions again, in a later generation.
+/// Orders registrations by age. A restored registry assigns its revisions a
+/// second time, in a higher generation.
 struct RegistrationOrder {
   uint64_t Generation = 0;
-  /// Zero says nothing.
+  /// Zero means unknown.
   uint64_t Revision = 0;
 
   auto operator<=>(const RegistrationOrder &) const = default;
 };
 
-/// A backend server as it registered itself.
+/// A backend server as it has registered itself.
 struct Registration {
   BackendId Id;
   ServiceId Service;
   Address Where;
   std::string Zone;
-  /// Takes nothing new.
+  /// The server accepts no new flows.
   bool Draining = false;
-  /// Requests that it works on at the same time.
+  /// Number of requests that the server handles at the same time.
   uint32_t Slots = 1;
-  /// Of two registrations at one address the newer one has the larger order.
-  /// Equal ones say nothing.
+  /// Of two registrations at one address the newer one has the larger order. If
+  /// the orders are equal, nothing is known about their age.
   RegistrationOrder Order;
-  /// When this life of the server began, in Unix milliseconds by its clock;
-  /// zero where it does not say. A server may start again under its id, and
-  /// knows nothing of its former life's flows.
+  /// When the server's process started, in Unix milliseconds by the server's
+  /// clock; zero if unknown. A server may restart under the same id, and then
+  /// knows nothing about the flows of its earlier process.
   int64_t StartedAtMs = 0;
-  /// How much longer it is slow after its start, when it wrote this.
+  /// Remaining warm-up time when the server wrote this registration.
   Duration WarmUpLeft = Duration::zero();
 
   bool operator==(const Registration &) const = default;
 };
 
-/// What is believed of a backend server.
+/// The state of a backend server as this instance knows it.
 enum class BackendState : uint8_t {
   Ready,
   Draining,
-  Missing, ///< Its registration is gone, but that may be the registry's fault.
-  Unreadable, ///< Its registration can't be read; keeps its flows meanwhile.
-  Gone,       ///< It has ended; a later life of it may come under this id.
+  Missing,    ///< Its registration is gone; the registry may be the cause.
+  Unreadable, ///< Its registration can't be parsed; it keeps its flows.
+  Gone,       ///< The server has ended; it may restart under the same id.
 };
 
 /// One backend server.
 struct Backend {
   Registration Info;
   BackendState State = BackendState::Ready;
-  /// When it went missing or gone.
+  /// When the server became missing or gone.
   Time LostAt;
-  /// Requests in progress that this instance sent, openings that are not yet
-  /// answered, and all flows that it follows.
+  /// Requests in progress that this instance sent, openings that are not
+  /// answered yet, and all flows that it tracks.
   uint32_t InProgress = 0;
   uint32_t Opening = 0;
   uint32_t Flows = 0;
-  /// Openings and requests in a row that nothing came back for.
+  /// Consecutive openings and requests without an answer.
   uint32_t Unanswered = 0;
   Time LastProgress;
-  /// Until when it is avoided for having been silent.
+  /// The server is avoided until this time because it did not answer.
   Time SuspectUntil;
-  /// How often in a row it has become suspect.
+  /// Consecutive suspicions.
   uint32_t Suspicions = 0;
-  /// The operators drain its zone.
+  /// The operators drain the zone of the server.
   bool ZoneDrained = false;
-  /// Until when it warms up, and when it may next get a flow meanwhile.
+  /// When the warm-up ends, and when the server may next get a new flow before
+  /// that.
   Time WarmUpUntil;
   Time NextWarmUpFlow;
   Reachability Probes;
@@ -86,21 +87,25 @@
     return State == BackendState::Ready && !ZoneDrained;
   }
   bool isSuspect(Time now) const { return now < SuspectUntil; }
-  /// What this instance has the server work on. An opening is a request to
-  /// come; a server that answers none must not look idle.
+  /// Returns the load that this instance has placed on the server. An opening
+  /// announces a request, so it counts too; otherwise a server that answers no
+  /// openings would look idle.
   uint32_t load() const { return InProgress + Opening; }
 };
 
-/// Availability zones whose servers get no new flows, and since when.
+/// Availability zones whose servers get no new flows, with the start of the
+/// drain.
 using DrainedZones = std::map<std::string, Time>;
 
-/// Times of the list of backend servers.
+/// Timeouts of the list of backend servers.
 struct BackendTimes {
-  /// A server that is gone is remembered this long: the longest life of a flow.
+  /// How long a server that is gone stays in the list: the maximum age of a
+  /// flow.
   Duration GoneRetention = std::chrono::seconds(60);
 };
 
-/// Position of a backend server in `Backends`; stable while it is remembered.
+/// Position of a backend server in `Backends`; stable while the server is in
+/// the list.
 using BackendIndex = uint32_t;
 inline constexpr BackendIndex NoBackend = UINT32_MAX;
 
@@ -109,77 +114,83 @@
 public:
   explicit Backends(BackendTimes times) : Times(times) {}
 
-  /// A registration was read. Returns true where its standing changed.
+  /// Applies a registration that was read. Returns true if the state of the
+  /// server changed.
   ///
-  /// Addresses are given to other servers once their owner has ended. An older
-  /// registration of the same address is a dead server's, which would keep its
-  /// flows waiting until the registration lapses; it is gone at once. Probes
-  /// can't tell, since the new owner answers them.
+  /// The address of a server that has ended is given to other servers. An older
+  /// registration of the same address belongs to a server that has ended; its
+  /// flows would wait until the registration expires. So that server is marked
+  /// as gone at once. Probes can't detect this, since the new owner answers
+  /// them.
   ///
-  /// A registration of an earlier life than the one known is a late one and
-  /// changes nothing. One of a later life ends all that is believed of the
-  /// server; `takeReborn` tells of it.
+  /// A registration that started earlier than the known one arrived late and
+  /// changes nothing. If it started later, the server has restarted: all
+  /// observations of it are discarded, and `takeRestarted` returns it.
   bool applyRegistration(const Registration &info, Time now);
-  /// A registration has ended. Returns true where its standing changed.
+  /// Marks a server as missing because its registration has ended. Returns true
+  /// if the state changed.
   bool markMissing(BackendId id, Time now);
-  /// A registration was replaced by one that can't be read. Returns true where
-  /// its standing changed.
+  /// Marks a server as unreadable because its registration was replaced by one
+  /// that can't be parsed. Returns true if the state changed.
   ///
-  /// What goes wrong without: someone else writes under a server's key, and
-  /// what the server said before goes on deciding. It says nothing of whether
-  /// the server lives, so it is not the end of its flows either.
+  /// Without this, if another program overwrites a server's key, the server's
+  /// previous registration would stay in effect. The overwrite is no evidence
+  /// that the server has stopped, so its flows are kept.
   bool markUnreadable(BackendId id);
-  /// The operators drain a zone, or have ended that. Its servers keep their
-  /// flows and take no new ones, whatever they register meanwhile. Returns
-  /// true where it was not known.
+  /// Starts or ends the drain of a zone. The zone's servers keep their flows
+  /// and accept no new ones, whatever they register in the meantime. Returns
+  /// true if this changes anything.
   bool drainZone(const std::string &zone, bool active, Time now);
   const DrainedZones &drainedZones() const { return Drained; }
-  /// Servers that have started again since the last call.
+  /// Returns the servers that have restarted since the last call.
   std::vector<BackendIndex> takeRestarted() {
-    return std::exchange(Reborn, {});
+    return std::exchange(Restarted, {});
   }
-  /// Forgets servers that have been gone for long. With `trusted`, a missing
-  /// registration proves that its server has ended: turns missing into gone.
-  /// Returns those that went since the last call.
+  /// Removes servers that have been gone for longer than `GoneRetention`. With
+  /// `trusted`, a missing registration proves that its server has ended:
+  /// missing servers become gone. Returns the servers that became gone since
+  /// the last call.
   std::vector<BackendIndex> expire(bool trusted, Time now);
 
-  Backend &at(BackendIndex i) { return Slots[i]; }
-  const Backend &at(BackendIndex i) const { return Slots[i]; }
-  /// Any server with this id.
+  Backend &at(BackendIndex i) { return Entries[i]; }
+  const Backend &at(BackendIndex i) const { return Entries[i]; }
+  /// Returns the server with this id, whatever its state, or `NoBackend`.
   BackendIndex find(BackendId id) const;
-  /// All servers with this token, the gone ones included.
+  /// Returns all servers with this token, including those that are gone.
   const std::vector<BackendIndex> &withToken(Token token) const;
-  /// The servers of a service, whatever their standing.
+  /// Returns the servers of a service, whatever their state.
   const std::vector<BackendIndex> &ofService(ServiceId service) const;
-  /// True where a live server of the same service shares this one's token.
+  /// Returns true if another server of the same service that is not gone has
+  /// the same token.
   bool sharesToken(BackendIndex i) const;
-  /// How many have not gone.
-  size_t size() const { return Living; }
-  /// One more than the highest index in use.
+  /// Returns the number of servers that are not gone.
+  size_t size() const { return LiveCount; }
+  /// Returns one more than the highest index in use.
   BackendIndex indexEnd() const {
-    return static_cast<BackendIndex>(Slots.size());
+    return static_cast<BackendIndex>(Entries.size());
   }
 
 private:
   BackendIndex add(const Registration &info);
-  /// Settles whose address it is. False: another server has it now.
-  bool claimAddress(BackendIndex i, Time now);
-  void end(BackendIndex i, Time now);
-  void beginLife(BackendIndex i);
-  void forget(BackendIndex i);
+  /// Assigns the address of the registration to this server. Returns false if a
+  /// newer registration of another server holds the address.
+  bool takeAddress(BackendIndex i, Time now);
+  void markGone(BackendIndex i, Time now);
+  void resetObservations(BackendIndex i);
+  void remove(BackendIndex i);
 
   BackendTimes Times;
-  size_t Living = 0;
-  std::vector<Backend> Slots;
+  size_t LiveCount = 0;
+  std::vector<Backend> Entries;
   std::vector<BackendIndex> Free;
   std::unordered_map<uint64_t, BackendIndex> ById;
   std::unordered_map<uint32_t, std::vector<BackendIndex>> ByToken;
   std::unordered_map<uint32_t, std::vector<BackendIndex>> ByService;
-  /// Who registered an address last.
+  /// The server that registered an address last.
   std::unordered_map<uint64_t, BackendIndex> ByAddress;
   DrainedZones Drained;
   std::vector<BackendIndex> Ended;
-  std::vector<BackendIndex> Reborn;
+  std::vector<BackendIndex> Restarted;
 };
 
 } // namespace chicory::token
--- a/include/chicorybank/token/Core.h
+++ b/include/chicorybank/token/Core.h
@@ -1,4 +1,4 @@
-// Decisions of the token path, as a state machine without I/O.
+// The decisions of the token path as a state machine without I/O.
 //
 //   Core core({.Zone = "a", .Seed = 1});
 //   Actions actions;
@@ -25,47 +25,48 @@
 
 namespace chicory::token {
 
-/// Settings of a core. Times that the deployment fixes have no default ground
-/// of their own; the others name it.
+/// Settings of a core. Times without a reason here are set by the deployment.
 struct CoreOptions {
   std::string Zone;
   InstanceId Self;
   uint64_t Seed = 1;
   /// A flow that is older may be discarded.
   Duration MaxFlowAge = std::chrono::seconds(60);
-  /// The configuration has to be in force within this time, so an instance
-  /// whose news is older can't tell what is configured.
+  /// A configuration must take effect within this time, so an instance whose
+  /// updates are older can't know the current configuration.
   Duration ApplyWithin = std::chrono::seconds(3);
   BackendTimes Servers;
-  /// News that was not renewed for this long has a gap: what vanished in it may
-  /// come back.
+  /// Updates that were not confirmed for this long have a gap: registrations
+  /// that vanished during the gap may come back.
   Duration UpdateGap = std::chrono::milliseconds(700);
-  /// A registration that vanished in a gap is back this long after it, if the
-  /// server lives. (Users: about two seconds.)
+  /// A registration that vanished during a gap is back this long after the gap
+  /// if its server is still running. (Requirement: about two seconds.)
   Duration ReturnGrace = std::chrono::milliseconds(2300);
-  /// How long an opening may stay unanswered, at least. Several times the usual
-  /// handshake of a few milliseconds, well below a caller's copy at 200 ms.
+  /// Minimum time before an opening counts as unanswered. Several times the
+  /// usual handshake of a few milliseconds, and well below the 200 ms after
+  /// which a caller sends a copy.
   Duration OpeningTimeout = std::chrono::milliseconds(25);
-  /// Unanswered openings or requests in a row that make a server suspect: one
-  /// may be a lost datagram.
+  /// Consecutive unanswered openings or requests that make a server suspect; a
+  /// single one may be a lost datagram.
   uint32_t SuspectAfter = 2;
-  /// How long a suspect is avoided; doubles with each suspicion in a row.
+  /// How long a suspect is avoided; doubles with each consecutive suspicion, up
+  /// to the maximum.
   Duration SuspectFor = std::chrono::milliseconds(800);
   Duration SuspectForMax = std::chrono::seconds(4);
   ReachabilityOptions Probing;
   ZoneOptions Zoning;
-  /// A token that stays unknown for this long, while the registrations are
-  /// current, belongs to a server that has ended: registrations arrive within
-  /// a second.
+  /// A token that remains unknown for this long, while registrations are
+  /// current, belongs to a server that has ended: registrations arrive within a
+  /// second.
   Duration UnknownTokenTimeout = std::chrono::milliseconds(2500);
-  /// So many flows with unknown tokens are remembered; about a megabyte. Anyone
-  /// can send packets with made-up tokens, and they must not take the memory
-  /// that an instance has. Above it a flow is not reset, only dropped.
+  /// Maximum number of tracked flows with unknown tokens; about a megabyte.
+  /// Anyone can send packets with forged tokens, which must not exhaust the
+  /// memory of an instance. Further flows are only dropped, not reset.
   size_t MaxUnknownFlows = 10'000;
   Mechanisms Enabled;
 };
 
-/// Counters and gauges of a core. Counters never fall.
+/// Counters and gauges of a core. Counters never decrease.
 struct CoreStats {
   std::array<uint64_t, ReasonCount> Drops{};
   std::array<uint64_t, ReasonCount> Resets{};
@@ -75,30 +76,33 @@
   uint64_t Opened = 0;
   uint64_t Probes = 0;
   uint64_t ProbesFailed = 0;
-  /// From an opening sent to the caller's next packet.
+  /// Time from an opening sent to the caller's next packet.
   Histogram HandshakeTime;
-  /// From a request's data to the first sign of its answer.
+  /// Time from the data of a request to the first sign of its answer.
   Histogram RequestTime;
-  /// How old a version was when it came into force here.
+  /// Age of a version when it took effect on this instance.
   Histogram RoutesAge;
 };
 
-/// One instance's decisions. Not safe for use by two threads at a time.
+/// The decisions of one instance. Not thread-safe.
 class Core {
 public:
   explicit Core(CoreOptions options);
 
-  /// Handles one event and appends what is to be done.
+  /// Handles one event and appends the resulting actions.
   void handle(const Event &event, Time now, Actions &actions);
 
-  /// When the next `Tick` is wanted.
+  /// Returns when the next `Tick` is due.
   Time nextTick(Time now) const;
-  /// True once there are a route and a server: some packets can be carried.
+  /// Returns true once a route and a server are known, so that some packets can
+  /// be forwarded.
   bool canForward() const {
     return Routes.version().Value != 0 && Servers.size() != 0;
   }
-  /// True once all routes and backend servers are known.
-  bool isReady() const { return Routes.version().Value != 0 && SawBackends; }
+  /// Returns true once all routes and backend servers are known.
+  bool isReady() const {
+    return Routes.version().Value != 0 && AllBackendsKnown;
+  }
 
   const CoreStats &stats() const { return Stats; }
   const RouteTable &routes() const { return Routes; }
@@ -113,7 +117,7 @@
     FlowKey Flow;
     Time SentAt;
     std::vector<std::byte> Raw;
-    /// Its silence was counted against the server.
+    /// The missing answer was counted against the server.
     bool Counted = false;
   };
 
@@ -136,70 +140,71 @@
   void on(const BackendReportedUnreachable &event, Time now, Actions &actions);
   void on(const Tick &event, Time now, Actions &actions);
 
-  void open(const PacketReceived &event, Time now, Actions &actions);
-  void openAt(const PacketReceived &event, BackendIndex i, Time now,
-              Actions &actions);
-  void carry(const PacketReceived &event, Time now, Actions &actions);
-  BackendIndex resolve(const FlowPacket &head, Time now, Reason &why) const;
-  void unknownToken(const FlowPacket &head, Time now, Actions &actions);
-  void follow(const FlowPacket &head, BackendIndex i, Time now,
-              Actions &actions);
-  void followData(const FlowPacket &head, FlowState &flow, Time now,
-                  Actions &actions);
+  void openFlow(const PacketReceived &event, Time now, Actions &actions);
+  void sendOpening(const PacketReceived &event, BackendIndex i, Time now,
+                   Actions &actions);
+  void forwardPacket(const PacketReceived &event, Time now, Actions &actions);
+  BackendIndex serverOfToken(const FlowPacket &head, Time now,
+                             Reason &why) const;
+  void handleUnknownToken(const FlowPacket &head, Time now, Actions &actions);
+  void trackPacket(const FlowPacket &head, BackendIndex i, Time now,
+                   Actions &actions);
+  void trackData(const FlowPacket &head, FlowState &flow, Time now,
+                 Actions &actions);
 
-  BackendIndex choose(const Route &route, uint64_t flowHash, BackendIndex avoid,
-                      Time now);
-  /// Why a route has no server for a new flow.
-  Reason whyNone(const Route &route) const;
-  BackendIndex chooseOf(ServiceId service, BackendIndex avoid, Time now);
-  double score(const Backend &backend, bool ownZoneFirst, Time now);
-  /// Whether a new flow of a service prefers servers of the own zone.
-  bool staysInZone(ServiceId service);
+  BackendIndex chooseServer(const Route &route, uint64_t flowHash,
+                            BackendIndex avoid, Time now);
+  /// Returns the reason why a route has no server for a new flow.
+  Reason whyNoServer(const Route &route) const;
+  BackendIndex chooseServerOf(ServiceId service, BackendIndex avoid, Time now);
+  double costOf(const Backend &backend, bool ownZoneFirst, Time now);
+  /// Returns whether a new flow of a service prefers servers of the own zone.
+  bool prefersOwnZone(ServiceId service);
 
-  void progress(BackendIndex i, Time now);
-  void missed(BackendIndex i, Time now, Actions &actions);
-  void suspect(BackendIndex i, Time now, Actions &actions);
+  void recordProgress(BackendIndex i, Time now);
+  void recordUnanswered(BackendIndex i, Time now, Actions &actions);
+  void markSuspect(BackendIndex i, Time now, Actions &actions);
 
   bool mayProbe(const Reachability &reach, Time now) const;
-  void doubt(BackendIndex i, Time now, Actions &actions);
-  void probe(BackendIndex i, Time now, Actions &actions);
+  void probeIfDue(BackendIndex i, Time now, Actions &actions);
+  void startProbe(BackendIndex i, Time now, Actions &actions);
   void sendProbe(BackendIndex i, Time now, Actions &actions);
-  BackendIndex lastToAnswer(BackendIndex i) const;
-  static bool finishing(const Backend &backend);
-  void probeFailed(BackendIndex i, Time now, Actions &actions);
-  void probeOnceMore(BackendIndex i, Time now, Actions &actions);
-  void showedLife(Reachability &reach, Time now);
-  void addressAnswers(BackendIndex i, Time now, Actions &actions);
-  bool distrusted(const Reachability &reach, Time now) const;
-  void resetWaitingAt(BackendIndex i, Time now, Actions &actions);
-  /// A conclusion from probes would not be safe, nor is one that was reached
-  /// just before.
-  bool falseAlarmLately(Time now) const {
+  BackendIndex lastAnsweringServer(BackendIndex i) const;
+  static bool isFinishing(const Backend &backend);
+  void onProbeFailed(BackendIndex i, Time now, Actions &actions);
+  void repeatProbe(BackendIndex i, Time now, Actions &actions);
+  void recordSignOfLife(Reachability &reach, Time now);
+  void onAddressAnswered(BackendIndex i, Time now, Actions &actions);
+  bool isDistrusted(const Reachability &reach, Time now) const;
+  void resetWaitingRequestsAt(BackendIndex i, Time now, Actions &actions);
+  /// Returns true if a recent false alarm makes it unsafe to declare a server
+  /// unreachable, or to act on a recent conclusion of that kind.
+  bool hadRecentFalseAlarm(Time now) const {
     return now - FalseAlarmAt < Options.Probing.FalseAlarmHold;
   }
-  void noteLink(BackendIndex answered, Time now);
-  bool comparedAnswered(BackendIndex i) const;
+  void recordLinkAnswer(BackendIndex answered, Time now);
+  bool comparisonServerAnswered(BackendIndex i) const;
   bool linkWorked(BackendIndex i) const;
-  void learnRoundTrip(const std::string &zone, Duration took);
+  void recordRoundTrip(const std::string &zone, Duration took);
   Duration roundTrip(const std::string &zone) const;
-  bool resetUnreachable(const FlowPacket &head, BackendIndex i, Time now,
-                        Actions &actions);
-  void resetHopelessFlowsOf(BackendIndex i, Time now, Actions &actions);
+  bool resetIfUnreachable(const FlowPacket &head, BackendIndex i, Time now,
+                          Actions &actions);
+  void resetFlowsOfUnreachable(BackendIndex i, Time now, Actions &actions);
   void checkRequests(Time now, Actions &actions);
-  Duration requestPatience() const;
-  void steerOpeningsAway(Time now, Actions &actions);
-  bool silent(const Backend &backend, Time now) const {
+  Duration requestTimeout() const;
+  void moveOpenings(Time now, Actions &actions);
+  bool isAvoided(const Backend &backend, Time now) const {
     return backend.isSuspect(now) || ZoneView.isSuspect(backend.Info.Zone, now);
   }
   void checkOpenings(Time now, Actions &actions);
-  void endFormerLives(int64_t readAt, Time now, Actions &actions);
-  void endServers(bool trusted, Time now, Actions &actions);
+  void resetFlowsOfRestarted(int64_t readAt, Time now, Actions &actions);
+  void expireServers(bool trusted, Time now, Actions &actions);
   void resetFlowsOf(BackendIndex i, Time now, Actions &actions);
   void resetFlows(const std::vector<FlowKey> &keys, Reason why, Time now,
                   Actions &actions);
 
   FlowState *flowOf(const FlowKey &key);
-  /// The flows at a server that a predicate of key and state picks.
+  /// Returns the flows at a server that a predicate of key and state selects.
   template <typename Predicate>
   std::vector<FlowKey> flowsOf(BackendIndex i, Predicate picks) const {
     std::vector<FlowKey> out;
@@ -208,34 +213,37 @@
         out.push_back(key);
     return out;
   }
-  FlowState &remember(const FlowKey &key, BackendIndex i, Time now);
+  FlowState &trackFlow(const FlowKey &key, BackendIndex i, Time now);
   void release(FlowState &flow);
-  /// The request in progress has ended, one way or another.
+  /// Ends the request in progress, for whatever reason.
   void endRequest(FlowState &flow);
   void forget(const FlowKey &key);
-  /// An opening packet is not the flow's that is remembered under its key.
-  void forgetFormer(const FlowKey &key, Time now);
+  /// Forgets a tracked flow that is too old for a new opening packet to belong
+  /// to it.
+  void forgetEarlierFlow(const FlowKey &key, Time now);
   void sweep(Time now);
 
   void send(BackendIndex i, Bytes raw, Actions &actions);
-  /// Appends a decision with the time, the version and the age of the news.
-  void decided(Decision decision, Time now, Actions &actions) const;
+  /// Appends a decision, with the time, the version and the age of the updates.
+  void addDecision(Decision decision, Time now, Actions &actions) const;
   void reset(const FlowPacket &head, Reason why, BackendIndex i, Time now,
              Actions &actions);
   void drop(const FlowPacket &head, Reason why, Time now, Actions &actions);
-  /// How old the news is; zero before the first.
-  Duration newsAge(Time now) const {
-    return SawBackends ? now - CurrentAt : Duration::zero();
+  /// Returns the age of the updates; zero before the first one.
+  Duration updateAge(Time now) const {
+    return AllBackendsKnown ? now - CurrentAt : Duration::zero();
   }
-  /// The routes can't be older than operators have to reckon with.
-  bool newsIsCurrent(Time now) const {
+  /// Returns true if the known routes are no older than the time within which a
+  /// configuration must take effect.
+  bool isCurrent(Time now) const {
     return now - CurrentAt < Options.ApplyWithin;
   }
-  /// The news had no gap for as long as a registration may need to return, so
-  /// what is missing has ended. What counts is the time that the news is from:
-  /// a registration may have returned after that. And there may be a gap that
-  /// is not over: items can be read before they are shown to be current.
-  bool trustsMissing(Time now) const {
+  /// Returns true if the updates had no gap for as long as a registration may
+  /// need to return, so that missing servers have ended. The time that the
+  /// updates are from counts, since a registration may have returned after
+  /// that. The gap may also not be over yet: items can be read before they are
+  /// confirmed as current.
+  bool canTrustMissing(Time now) const {
     return now - CurrentAt < Options.UpdateGap &&
            CurrentAt - CurrentSince >= Options.ReturnGrace;
   }
@@ -248,27 +256,27 @@
   FlowTracker Flows;
   std::deque<Opening> Openings;
   std::deque<Request> Requests;
-  /// Flows with an unknown token: when the first packet came.
+  /// Flows with an unknown token, with the arrival of their first packet.
   std::unordered_map<FlowKey, Time, FlowKeyHash> Unknown;
-  /// Keeps the bytes of openings that a `Forward` points to.
+  /// Holds the bytes of openings that a `Forward` refers to.
   std::vector<std::vector<std::byte>> Resent;
   std::mt19937_64 Random;
   Time CurrentAt = Time{} - std::chrono::hours(1);
-  /// Since when the news has been current without a gap.
+  /// Start of the period in which the updates have been current without a gap.
   Time CurrentSince;
   Time LastTick;
   Time LastSweep;
   /// Smoothed time from an opening to the caller's next packet.
   Duration Handshake = Duration::zero();
   /// Smoothed time from a request to the first sign of its answer.
-  Duration RequestWait = Duration::zero();
-  /// The longest round trip to each zone's servers lately.
+  Duration ResponseTime = Duration::zero();
+  /// Recent longest round trip to the servers of each zone.
   std::map<std::string, Duration> RoundTrips;
-  /// When a server that had failed a probe last showed life.
+  /// When a server that had failed a probe last showed a sign of life.
   Time FalseAlarmAt = Time{} - std::chrono::hours(1);
-  /// When this process last went on after standing still.
+  /// When this process last resumed after it was suspended.
   Time ResumedAt;
-  bool SawBackends = false;
+  bool AllBackendsKnown = false;
   CoreStats Stats;
 };
 
--- a/include/chicorybank/token/Events.h
+++ b/include/chicorybank/token/Events.h
@@ -1,4 +1,4 @@
-// What goes into a token core and what comes out.
+// Events that a token core handles and the actions that it returns.
 
 #ifndef CHICORYBANK_TOKEN_EVENTS_H
 #define CHICORYBANK_TOKEN_EVENTS_H
@@ -15,18 +15,20 @@
 
 namespace chicory::token {
 
-/// A caller's packet came from the routers. `Raw` is used during the call only.
+/// A caller's packet arrived from the routers. `Raw` is valid only during the
+/// call.
 struct PacketReceived {
   FlowPacket Head;
   Bytes Raw;
 };
 
-/// A version of the configuration was read, from whichever source.
+/// A version of the configuration was read, from any source.
 struct RoutesLearned {
   RouteSet Routes;
 };
 
-/// What routes have led to was read. May come before the routes themselves.
+/// The record of earlier services of routes was read. May arrive before the
+/// routes themselves.
 struct PastRoutesLearned {
   std::vector<RoutePair> Pairs;
 };
@@ -35,63 +37,65 @@
 struct BackendsLearned {
   /// New or changed ones.
   std::vector<Registration> Present;
-  /// Those that have ended.
+  /// Servers whose registrations have ended.
   std::vector<BackendId> Ended;
-  /// Those whose registrations can no longer be read.
+  /// Servers whose registrations can no longer be parsed.
   std::vector<BackendId> Unreadable;
-  /// The time of day when this was read, in Unix milliseconds; zero where it
-  /// is not known. It dates the lives of servers and nothing else.
+  /// The wall-clock time of the read, in Unix milliseconds; zero if unknown. It
+  /// is used only to compute how long a server's process has been running.
   int64_t ReadAt = 0;
 };
 
-/// The operators drain an availability zone: its backend servers keep their
-/// flows and get no new ones. Or they have ended that.
+/// The operators have started (`Active`) or ended the drain of an availability
+/// zone. While it lasts, its backend servers keep their flows and get no new
+/// ones.
 struct ZoneDrainLearned {
   std::string Zone;
   bool Active = true;
 };
 
-/// The registered instances are these.
+/// The list of registered instances was read.
 struct InstancesLearned {
   std::vector<ZonedInstance> Instances;
 };
 
-/// All backend servers were told at least once: the instance may serve.
+/// All registrations of backend servers were read at least once, so this
+/// instance may serve.
 struct BackendsComplete {};
 
-/// How well this instance can know the newest configuration.
+/// How current this instance's updates from the registry are.
 struct FreshnessUpdated {
-  /// What was told so far holds everything up to this time.
+  /// The updates handled so far are complete up to this time.
   Time CurrentAt;
 };
 
-/// The deployment's bounds changed while the process runs.
+/// The deployment's time limits changed while the process runs.
 struct BoundsChanged {
   Duration ApplyWithin;
   Duration MaxFlowAge;
 };
 
-/// How a probe ended.
+/// The outcome of a probe.
 enum class ProbeOutcome : uint8_t {
   Reached,
   Failed,   ///< No answer in time.
-  Refused,  ///< Its machine answers that nobody listens.
-  NotTried, ///< There was no room for it; it shows nothing.
+  Refused,  ///< The host refused the connection: no process listens.
+  NotTried, ///< Not sent, as too many probes are under way; no evidence.
 };
 
-/// A probe that the core asked for has ended.
+/// A probe that the core requested has ended.
 struct ProbeEnded {
   BackendId Id;
   ProbeOutcome Outcome = ProbeOutcome::NotTried;
 };
 
-/// Another instance has given up on a server. That may be its own trouble, so
-/// this instance looks for itself.
+/// Another instance reports a server as unreachable. The cause may be that
+/// instance's own link, so this instance probes the server itself.
 struct BackendReportedUnreachable {
   BackendId Id;
 };
 
-/// Time passes; send one every few milliseconds while flows are opening.
+/// Advances timers; to be sent every few milliseconds while flows are opening.
 struct Tick {};
 
 using Event = std::variant<PacketReceived, RoutesLearned, PastRoutesLearned,
@@ -99,7 +103,7 @@
                            BackendsComplete, FreshnessUpdated, BoundsChanged,
                            ProbeEnded, BackendReportedUnreachable, Tick>;
 
-/// Send the packet to a backend server, with this token in it.
+/// Send the packet to a backend server, with this token written into it.
 struct Forward {
   BackendId To;
   Address Where;
@@ -108,39 +112,40 @@
   Bytes Raw;
 };
 
-/// Reset a flow: tell the caller that it has to open a new one.
+/// Reset a flow, so that the caller opens a new one.
 struct ResetFlow {
   FlowKey Flow;
-  /// The caller's last acknowledgement; a reset must be near it to count.
+  /// The caller's last acknowledgement; the caller accepts a reset only near
+  /// it.
   uint32_t Near = 0;
   Reason Why = Reason::None;
 };
 
-/// Open a connection to a backend server and close it again. Exactly one
-/// `ProbeEnded` has to follow.
+/// Open a connection to a backend server and close it again. Must be followed
+/// by exactly one `ProbeEnded`.
 struct ProbeBackend {
   BackendId Id;
   Address Where;
   Duration Timeout;
 };
 
-/// Tell other instances that a server can't be reached from here.
+/// Report to other instances that a server can't be reached from this one.
 struct ReportUnreachable {
   BackendId Id;
 };
 
-/// Something worth a log line.
+/// A decision to write to the log.
 struct Decision {
-  /// What happened, one word; a string literal.
+  /// Name of the log event, one word; a string literal.
   const char *What = "";
   Reason Why = Reason::None;
   Time At;
   FlowKey Flow;
   BackendId Backend;
-  /// The availability zone that it is about; empty for none.
+  /// The availability zone concerned; empty for none.
   std::string Zone;
   RuleVersion Rules;
-  /// How old the input was that decided it.
+  /// Age of the registry updates that the decision is based on.
   Duration Age = Duration::zero();
 };
 
--- a/include/chicorybank/token/FlowTracker.h
+++ b/include/chicorybank/token/FlowTracker.h
@@ -1,8 +1,9 @@
-// What this instance remembers of flows that pass through it.
+// What this instance records about the flows that it forwards.
 //
-// Nothing here is needed to carry an open flow: the token is. It serves to see
-// requests in progress and backend servers that fall silent, and to keep the
-// copies of an opening packet together.
+// None of it is needed to forward a packet of an open flow: the token is
+// enough. It serves to track requests in progress, to detect backend servers
+// that stop answering, and to send all copies of an opening packet to the same
+// server.
 
 #ifndef CHICORYBANK_TOKEN_FLOWTRACKER_H
 #define CHICORYBANK_TOKEN_FLOWTRACKER_H
@@ -14,25 +15,25 @@
 
 namespace chicory::token {
 
-/// One flow.
+/// The state of one flow.
 struct FlowState {
   BackendIndex Backend = NoBackend;
-  /// Guards against an index that was given to another server meanwhile.
+  /// Id of the server. Detects that the index was reused for another server.
   BackendId Id;
-  /// The opening also went to this server; none where it went to one alone.
+  /// Another server that the opening was also sent to; none in the usual case
+  /// of a single server.
   BackendId AlsoSentTo;
-  /// The opening packet was sent, and nothing shows yet that it was answered.
+  /// The opening packet was sent, and no packet shows yet that it was answered.
   bool Opening = true;
-  /// A request is in progress.
   bool RequestInProgress = false;
   uint32_t LastSequence = 0;
   uint32_t LastAcknowledged = 0;
   /// When the opening packet was last sent to `Backend`.
   Time SentAt;
-  /// When it was first and last seen here.
+  /// When a packet of the flow was first and last received here.
   Time FirstSeen;
   Time LastSeen;
-  /// When data was last sent, and when the request in progress began.
+  /// When data was last sent, and when the request in progress started.
   Time DataAt;
   Time RequestSince;
 };
--- a/include/chicorybank/token/Histogram.h
+++ b/include/chicorybank/token/Histogram.h
@@ -12,7 +12,7 @@
 /// Counts durations in buckets from half a millisecond to ten seconds.
 class Histogram {
 public:
-  /// The upper ends of the buckets; a last one takes the rest.
+  /// Upper bounds of the buckets; a final bucket takes all longer durations.
   static constexpr std::array<Duration, 14> Bounds = {
       Duration(500),       Duration(1'000),     Duration(2'000),
       Duration(5'000),     Duration(10'000),    Duration(20'000),
@@ -27,7 +27,7 @@
     ++Counts[i];
     Total += took;
   }
-  /// How many fell into a bucket.
+  /// Returns the number of durations in a bucket.
   uint64_t count(size_t bucket) const { return Counts[bucket]; }
   Duration sum() const { return Total; }
 
--- a/include/chicorybank/token/Mechanisms.h
+++ b/include/chicorybank/token/Mechanisms.h
@@ -1,9 +1,10 @@
-// Switches of what an instance decides by itself, for measuring what each is
-// worth. All are on in production; `chicory-edge check` warns of others.
+// Switches for the optional mechanisms of an instance, to measure the effect of
+// each one. All of them are on in production; `chicory-edge check` warns if one
+// is off.
 //
-// What a rule of the users needs has no switch: one server for all copies of an
-// opening, silence while the news is not current, tokens that reach only what
-// the route led to.
+// Mechanisms that a requirement depends on have no switch: one server for all
+// copies of an opening, no answer while registry updates are stale, and tokens
+// that reach only services of the route.
 
 #ifndef CHICORYBANK_TOKEN_MECHANISMS_H
 #define CHICORYBANK_TOKEN_MECHANISMS_H
@@ -17,34 +18,36 @@
 struct Mechanisms {
   /// Servers that leave openings or requests unanswered are avoided.
   bool Suspicion = true;
-  /// A doubt about a server leads to probes, and failed ones to resets.
+  /// Servers that may be unreachable are probed, and flows are reset if the
+  /// probes fail.
   bool Probes = true;
-  /// Other instances are told of a server that can't be reached.
+  /// Other instances are notified of a server that can't be reached.
   bool SharedDoubts = true;
-  /// Openings that wait at a suspect go to another server at once.
+  /// Openings that wait at a suspect server are sent to another server at once.
   bool MovedOpenings = true;
-  /// Idle flows of an unreachable server are reset where the next request must
+  /// Idle flows of an unreachable server are reset if their next request must
   /// not run twice.
   bool IdleResets = true;
   /// Flows of a server that has ended are reset before their next packet.
   bool GoneResets = true;
-  /// Servers of the own zone go before others.
+  /// Servers of this instance's own zone are preferred.
   bool OwnZoneFirst = true;
-  /// A server whose registration is missing still gets new flows: its share
-  /// while the registry has not shown that it ended, afterwards only where
-  /// there is no other.
+  /// A server whose registration is missing still gets new flows: its usual
+  /// share until the registry has shown that the server has ended, and after
+  /// that only if there is no other server.
   bool MissingAsLastResort = true;
-  /// Packets before the first news wait for it.
+  /// At the start, packets are held until the first registry updates arrive.
   bool HoldAtStart = true;
-  /// Instances that start without the registry are told by others.
+  /// Instances that start while the registry is down get its content from other
+  /// instances.
   bool Reminders = true;
-  /// What routes led to is recorded for instances that start.
+  /// The services that routes led to are recorded for instances that start.
   bool RouteRecord = true;
 
   bool operator==(const Mechanisms &) const = default;
 };
 
-/// A mechanism's name in settings.
+/// The settings key of a mechanism.
 struct MechanismName {
   std::string_view Key;
   bool Mechanisms::*Switch;
--- a/include/chicorybank/token/Reachability.h
+++ b/include/chicorybank/token/Reachability.h
@@ -1,18 +1,19 @@
 // Whether a backend server can be reached from this instance.
 //
-// What goes wrong: a server that dies without a word keeps its registration for
-// seconds, and callers whose flows it held wait until their deadlines. One
-// notices requests without any sign of an answer. A slow server looks the same,
-// and resetting its flows would break what was well; but a slow server still
-// accepts connections. So silence leads to a probe, which is a connection that
-// is opened and closed again, and only probes that fail lead to resets.
+// A server that crashes keeps its registration for seconds, and callers with
+// flows at it would wait until their deadlines. The first symptom is a request
+// without any sign of an answer. A slow server looks the same, and resetting
+// its flows would break working connections; but a slow server still accepts
+// connections. So a silent request leads to a probe, which opens a connection
+// and closes it again, and only failed probes lead to resets.
 //
-// A full link of this instance's own makes every probe fail. One would notice
-// resets of flows whose servers serve. So each further probe goes out together
-// with one to a server that answered lately, and counts only if that one is
-// answered, and in half of the time. A full link also drops some packets and
-// lets others through: a server that failed a probe and lives all the same
-// shows that, and for a while nothing is concluded.
+// If this instance's own link is saturated, every probe fails, and flows of
+// healthy servers would be reset. So each further probe is sent together with a
+// probe to a comparison server, one that answered recently. The failure counts
+// only if the comparison server answers, and within half of the timeout. A
+// saturated link also drops some packets and passes others: if a server that
+// failed a probe then shows a sign of life, this is a false alarm, and no
+// server is declared unreachable for a while.
 
 #ifndef CHICORYBANK_TOKEN_REACHABILITY_H
 #define CHICORYBANK_TOKEN_REACHABILITY_H
@@ -21,67 +22,71 @@
 
 namespace chicory::token {
 
-/// Times and numbers of probes.
+/// Timeouts and thresholds of probes.
 struct ReachabilityOptions {
-  /// A probe without an answer fails after this time, at least: some twenty
-  /// round trips between zones. On a slow link it is four handshakes.
+  /// Minimum timeout of a probe: about twenty round trips between zones. On a
+  /// slow link the timeout is four handshakes.
   Duration Timeout = std::chrono::milliseconds(40);
-  /// Failures in a row that make a server unreachable: two packets of three may
-  /// be lost where a link is full.
+  /// Consecutive failures that make a server unreachable. A saturated link may
+  /// lose two packets out of three.
   uint32_t UnreachableAfter = 3;
-  /// Probes after one that failed wait for so many times as long.
+  /// Factor on the timeout of the probes that follow a failed one.
   int RetryTimeoutFactor = 2;
-  /// Of a row so many probes are made anew because the one for comparison was
-  /// not answered. With a quarter of all servers dead, one row in 250 still
-  /// ends without a conclusion.
+  /// Maximum number of probes that a series repeats because the comparison
+  /// server did not answer. If a quarter of all servers have failed, one series
+  /// in 250 still ends without a result.
   uint32_t MaxInconclusive = 3;
-  /// Nothing is concluded for this long after a server that failed a probe
-  /// showed life: about as long as a full link stays full.
+  /// How long no server is declared unreachable after a server that failed a
+  /// probe has shown a sign of life: about as long as a link stays saturated.
   Duration FalseAlarmHold = std::chrono::seconds(3);
-  /// The address of a server that has ended may be another one's two seconds
-  /// later, which then answers probes. A row begins within a second of the end.
+  /// The address of a server that has ended may belong to another server two
+  /// seconds later, which then answers the probes. A series starts within a
+  /// second of the end, so an answer that comes this long after the start of
+  /// the series may come from the new owner.
   Duration AddressReusedAfter = std::chrono::seconds(1);
-  /// A server that was unreachable and whose address answers again is taken for
-  /// silent until a flow shows life, for this long after the last failure.
-  /// Registrations of servers that have ended lapse in that time, and it is
-  /// less than a flow has to hold undisturbed after trouble (users: four
-  /// seconds).
+  /// How long after the last failure a server that was unreachable still counts
+  /// as silent although its address answers probes, until one of its flows
+  /// shows a sign of life. Registrations of servers that have ended expire
+  /// within this time. It is shorter than the time after which flows must work
+  /// undisturbed once a fault is over (requirement: four seconds).
   Duration DistrustFor = std::chrono::milliseconds(3500);
-  /// A server that answered is not asked again for this long.
+  /// Minimum time from the end of a series of probes to the next probe of the
+  /// same server.
   Duration MinInterval = std::chrono::milliseconds(250);
-  /// A failure is believed for this long. A server that was cut off is back
-  /// without telling; a belief must not outlive the cut by much.
+  /// How long a server counts as unreachable after a conclusion. A server that
+  /// was cut off returns without notice, so this must not outlast the cut by
+  /// much.
   Duration UnreachableFor = std::chrono::milliseconds(600);
-  /// A request without a sign of an answer raises a doubt after this time, at
-  /// least, and after this many times the usual wait. A doubt costs a probe, so
-  /// it may be raised early.
+  /// A request without a sign of an answer leads to a probe after this time at
+  /// least, and after this multiple of the usual response time. A probe is
+  /// cheap, so it may be sent early.
   Duration RequestTimeoutMin = std::chrono::milliseconds(50);
   int RequestTimeoutFactor = 3;
 };
 
-/// What probes have shown of one backend server.
+/// The results of probing one backend server.
 struct Reachability {
   bool Probing = false;
-  /// Probes in a row that failed.
+  /// Consecutive probes that failed.
   uint32_t Failures = 0;
-  /// Probes of the row that showed nothing.
+  /// Probes of the current series that gave no result.
   uint32_t Inconclusive = 0;
-  /// When, since the last probe was sent, one of another server was answered
-  /// first.
+  /// The first time, since the last probe was sent, that a probe of another
+  /// server was answered.
   Time LinkWorkedAt;
-  /// The server that was asked together with the last probe.
+  /// The server that was probed for comparison together with the last probe.
   BackendId ComparisonServer;
-  /// When the first probe of a row was sent, and the last one.
+  /// When the first and the last probe of the series were sent.
   Time SeriesStartedAt;
   Time SentAt;
   Duration Timeout = Duration::zero();
-  /// When a probe last failed or was last answered.
+  /// When a probe last failed and was last answered.
   Time FailedAt;
   Time AnsweredAt;
-  /// Until when the server is believed to be unreachable.
+  /// The server counts as unreachable until this time.
   Time UnreachableUntil;
-  /// It was found to be unreachable, and none of its flows has shown life
-  /// since.
+  /// The server was found unreachable, and none of its flows has shown a sign
+  /// of life since.
   bool FoundUnreachable = false;
 };
 
--- a/include/chicorybank/token/Routes.h
+++ b/include/chicorybank/token/Routes.h
@@ -1,5 +1,5 @@
-// The operators' routes as the token path uses them: an address and a port
-// lead to one or more services.
+// The operators' routes as the token path uses them: each address and port
+// leads to one or more services.
 
 #ifndef CHICORYBANK_TOKEN_ROUTES_H
 #define CHICORYBANK_TOKEN_ROUTES_H
@@ -13,7 +13,7 @@
 
 namespace chicory::token {
 
-/// One service of a route and its share of new flows.
+/// One service of a route, with its share of new flows.
 struct WeightedService {
   ServiceId Service;
   uint32_t Weight = 1;
@@ -21,16 +21,16 @@
   bool operator==(const WeightedService &) const = default;
 };
 
-/// Where flows to one address go, and what the requests inside are like.
+/// Where flows to one address go, and properties of the requests inside.
 struct Route {
   Address Where;
   std::vector<WeightedService> Services;
-  /// Its requests may run more than once, so a caller may repeat one whose
-  /// outcome it does not know.
+  /// The requests may run more than once, so a caller may repeat a request
+  /// whose outcome it does not know.
   bool Idempotent = false;
 };
 
-/// An address and a service to which its route leads or has led.
+/// An address and a service that its route leads to or has led to.
 struct RoutePair {
   Address Where;
   ServiceId Service;
@@ -38,12 +38,13 @@
   auto operator<=>(const RoutePair &) const = default;
 };
 
-/// How the servers of a service begin.
+/// The slow start of the servers of a service.
 struct ServiceWarmUp {
   ServiceId Service;
-  /// From a server's start.
+  /// Length of the warm-up, from the start of a server.
   Duration Lasts = Duration::zero();
-  /// New flows that one server bears meanwhile; zero where no limit is known.
+  /// New flows that one server can take during its warm-up; zero if there is no
+  /// limit.
   double FlowsPerSecond = 0;
 
   bool operator==(const ServiceWarmUp &) const = default;
@@ -54,65 +55,67 @@
   RuleVersion Version;
   std::vector<Route> Routes;
   std::vector<ServiceWarmUp> WarmUps;
-  /// A flow that is idle for longer may be forgotten.
+  /// A flow that is idle for longer may be discarded.
   Duration IdleTimeout = std::chrono::seconds(60);
 };
 
-/// The newest routes, and which services each address had lately.
+/// The newest routes, and the services that each address has recently led to.
 class RouteTable {
 public:
-  /// How long a flow may live; a service that a route lost longer ago can't
-  /// have a flow of that route.
+  /// `maxFlowAge` is the maximum age of a flow. If a route lost a service
+  /// longer ago, none of its flows can be at that service any more.
   explicit RouteTable(Duration maxFlowAge) : MaxFlowAge(maxFlowAge) {}
 
   void setMaxFlowAge(Duration age) { MaxFlowAge = age; }
 
-  /// Takes a version into force. Returns false for one that is not newer:
-  /// versions never go back, whichever way the news took.
+  /// Applies a version. Returns false if it is not newer than the current one:
+  /// the version never decreases, whatever source an update comes from.
   bool learn(const RouteSet &routes, Time now);
 
-  /// Takes what other instances have seen routes lead to (`RouteLedger.h`).
+  /// Adds services that routes led to, as recorded by other instances
+  /// (`RouteHistory.h`).
   ///
-  /// What goes wrong without: an instance that starts after a route has moved
-  /// has only read the new version, so it takes the tokens of all older flows
-  /// for forged ones. One sees `foreign_token` after restarts, and callers that
-  /// wait until their deadlines.
+  /// Without this, an instance that starts after a route has moved knows only
+  /// the new version and rejects the tokens of all older flows as forged. The
+  /// symptom is `foreign_token` after restarts, and callers that wait until
+  /// their deadlines.
   ///
-  /// A pair that the route does not lead to now counts as lost now: the time is
-  /// not told, and a pair that is kept for too long harms nobody, because the
-  /// route did lead there.
+  /// A pair that the route does not lead to any more counts as lost at `now`,
+  /// since the record has no times. Keeping a pair for too long is harmless,
+  /// because the route did lead to that service.
   void learnPast(const std::vector<RoutePair> &pairs, Time now);
 
   RuleVersion version() const { return Version; }
   Duration idleTimeout() const { return IdleTimeout; }
-  /// The route of an address, or null.
+  /// Returns the route of an address, or null.
   const Route *find(Address where) const;
-  /// True where flows of this address may live on the service: it is one of
-  /// the route's, or was while a flow that still lives could open. A token
-  /// can be forged, so this is checked for each packet.
+  /// Returns true if flows of this address may be at the service: the route
+  /// leads to it, or did while a flow that may still be open could start.
+  /// Tokens can be forged, so this is checked for each packet.
   bool mayReach(Address where, ServiceId service, Time now) const;
-  /// True where the route stood here and was removed.
+  /// Returns true if the address had a route that was removed.
   bool wasRemoved(Address where) const;
   size_t size() const { return Current.size(); }
 
 private:
-  struct Former {
+  struct FormerService {
     ServiceId Service;
     Time LostAt;
   };
   bool leadsTo(const RoutePair &pair) const;
-  /// The route has led there while a flow that still lives could open.
-  bool hasLost(const RoutePair &pair, Time now) const;
-  void remember(const Route &old, Time now);
-  /// A route has lost a service, or lost it again.
-  void lose(Address where, ServiceId service, Time now);
+  /// Returns true if the route led to the service within the maximum flow age,
+  /// but no longer does.
+  bool ledToLately(const RoutePair &pair, Time now) const;
+  void recordLostServices(const Route &old, Time now);
+  /// Records that a route has lost a service now.
+  void recordLoss(Address where, ServiceId service, Time now);
 
   Duration MaxFlowAge;
   Duration IdleTimeout = std::chrono::seconds(60);
   RuleVersion Version;
   std::unordered_map<uint64_t, Route> Current;
-  /// By address: services that the route has lost.
-  std::unordered_map<uint64_t, std::vector<Former>> Past;
+  /// Services that routes have lost, by address.
+  std::unordered_map<uint64_t, std::vector<FormerService>> FormerServices;
 };
 
 } // namespace chicory::token
--- a/include/chicorybank/token/WarmUp.h
+++ b/include/chicorybank/token/WarmUp.h
@@ -1,22 +1,24 @@
-// Backend servers that warm up: how many new flows each gets, over all
-// instances.
+// Slow start: limits the new flows that all instances together send to a
+// backend server that warms up.
 //
-// What goes wrong without: a server that has just started, or whose zone was
-// drained and has come back, bears only a few requests a second. Each of a
-// hundred instances sees it idle and sends it a flow; one sees it shed or
-// answer late for as long as it warms up.
+// A server that has just started, or whose zone was drained and is in use
+// again, can handle only a few requests a second. Without a limit, each of a
+// hundred instances sees it idle and sends it a flow; the server sheds requests
+// or answers late until it has warmed up.
 //
-// For each such server one instance alone opens flows, at the server's rate. It
-// is found by rendezvous hashing over the registered instances of the server's
-// zone, without a message. Those of its zone, because only they reach it while
-// the zone is cut off from the others. Two instances that take themselves for
-// it send twice the rate at most, for the seconds in which their lists differ.
+// For each such server only one instance opens flows, at the rate that the
+// server can handle. It is selected by rendezvous hashing over the registered
+// instances of the server's zone, without any messages. Only instances of the
+// same zone take part, because only they reach the server while the zone is cut
+// off from the others. While their lists of instances differ, for some seconds,
+// two instances may select themselves and send at most twice the rate.
 //
-// The other way, a share of the rate for every instance, serves as well (0.941
-// of worth with either where a zone of 40 servers comes back to 86 instances
-// under 1.7 times the usual load, at 0.5 flows a second; 0.888 and the limit
-// broken 191 times with none). It depends on every instance knowing their
-// number: where half of them are not known, each sends twice its share.
+// An alternative, a share of the rate for every instance, works as well: it
+// scores 0.941 like this one if a zone of 40 servers is used again by 86
+// instances under 1.7 times the usual load, at 0.5 flows a second; without any
+// limit the score is 0.888, and the limit is exceeded 191 times. But the
+// alternative depends on every instance knowing the number of instances: if
+// half of them are unknown, each one sends twice its share.
 
 #ifndef CHICORYBANK_TOKEN_WARMUP_H
 #define CHICORYBANK_TOKEN_WARMUP_H
@@ -29,38 +31,41 @@
 
 namespace chicory::token {
 
-/// Who may open flows at servers that warm up, and when.
+/// Decides whether this instance may open a flow at a server that warms up.
 class WarmUpLimits {
 public:
-  /// Where all instances register at once, as after a long outage, each sees
-  /// itself before the others and would open flows at every server. Others that
-  /// register at the same time are known after this.
+  /// How long an instance opens no flows at servers that warm up, after it
+  /// first finds itself in the list. If all instances register at once, as
+  /// after a long outage, each one sees itself before the others and would open
+  /// flows at every server. Instances that register at the same time are known
+  /// after this time.
   static constexpr Duration SettlingTime = std::chrono::seconds(2);
 
   explicit WarmUpLimits(InstanceId self) : Self(self) {}
 
   void setServices(const std::vector<ServiceWarmUp> &services);
-  /// The registered instances, this one included if it is registered.
-  void setInstances(std::vector<ZonedInstance> peers, Time now);
+  /// Sets the registered instances, including this one if it is registered.
+  void setInstances(std::vector<ZonedInstance> instances, Time now);
 
-  /// A registration was read.
+  /// Updates the server's warm-up time from its registration, which was just
+  /// read.
   void onRegistered(Backend &server, Time now) const;
-  /// The server's zone is no longer drained: it starts cold, and says so only
-  /// with its next heartbeat.
+  /// Starts the warm-up of a server whose zone is no longer drained. The server
+  /// is cold, but its registration says so only after its next heartbeat.
   void onZoneRestored(Backend &server, Time now) const;
-  /// This instance may open a flow at the server now.
+  /// Returns true if this instance may open a flow at the server now.
   bool mayOpen(const Backend &server, Time now) const;
-  /// It has opened one there.
+  /// Records that this instance has opened a flow at the server.
   void onFlowOpened(Backend &server, Time now) const;
 
 private:
-  const ServiceWarmUp *limitOf(const Backend &server, Time now) const;
-  bool isOpenerOf(const Backend &server) const;
+  const ServiceWarmUp *limitFor(const Backend &server, Time now) const;
+  bool opensFlowsFor(const Backend &server) const;
 
   InstanceId Self;
   std::unordered_map<uint32_t, ServiceWarmUp> Services;
-  std::vector<ZonedInstance> Peers;
-  /// Since when this instance is among them; `Time::max()` while it is not.
+  std::vector<ZonedInstance> Instances;
+  /// When this instance was first listed; `Time::max()` while it is not listed.
   Time ListedSince = Time::max();
 };
 
--- a/include/chicorybank/token/Zones.h
+++ b/include/chicorybank/token/Zones.h
@@ -1,5 +1,5 @@
-// Availability zones as an instance sees them: which one falls silent as a
-// whole, and how busy the servers of its own are.
+// Availability zones as this instance sees them: whether a whole zone stops
+// answering, and how busy the servers of its own zone are.
 
 #ifndef CHICORYBANK_TOKEN_ZONES_H
 #define CHICORYBANK_TOKEN_ZONES_H
@@ -13,63 +13,66 @@
 
 namespace chicory::token {
 
-/// Times and numbers of zones.
+/// Timeouts and thresholds for zones.
 struct ZoneOptions {
-  /// Misses in a row, each at another server than the one before, that make
-  /// another zone suspect. While any of its servers answers, a row is broken
-  /// some ten times a second.
+  /// Consecutive misses, each at another server than the one before, that make
+  /// another zone suspect. While any server of the zone answers, a sequence of
+  /// misses is interrupted some ten times a second.
   uint32_t SuspectAfter = 3;
-  /// How long a suspect zone is avoided: as a server.
+  /// How long a suspect zone is avoided; the same as for a server.
   Duration SuspectFor = std::chrono::milliseconds(800);
-  /// Requests in progress for each slot, from which on flows begin to leave the
-  /// own zone, and at which they all choose among all zones. Below the first
-  /// hardly any request waits; at the second every other one does. A flow in
-  /// another zone is lost if that is cut off, so not earlier than it helps: 0.7
-  /// and 1.3 serve no better.
+  /// Requests in progress for each slot at which new flows start to spill over
+  /// to other zones, and at which all of them choose among all zones. Below the
+  /// first value hardly any request waits; at the second one every other
+  /// request does. A flow in another zone breaks if that zone is cut off, so
+  /// flows must not spill over before it helps: 0.7 and 1.3 give no better
+  /// results.
   double SpillFrom = 1.0;
   double SpillAll = 1.5;
-  /// The load is smoothed over this time: several requests of each caller, and
-  /// less than a burst lasts.
+  /// Smoothing time of the load: it covers several requests of each caller and
+  /// is shorter than a burst.
   Duration Smoothing = std::chrono::milliseconds(300);
 };
 
-/// Evidence about zones.
+/// Detects zones that are cut off and estimates the load of the own zone.
 ///
-/// What goes wrong without the first part: a zone is cut off, and instances of
-/// another one whose own servers are drained send half of their openings there.
-/// Each server has to be found silent by itself, by each instance; one sees
-/// `opening_moved` for seconds, and answers late by a caller's copy or two.
+/// Without the detection: if a zone is cut off, instances of another zone whose
+/// own servers are drained send half of their openings there. Each instance has
+/// to find out for each server that it does not answer. The symptom is
+/// `opening_moved` for seconds, and answers that are late by one or two
+/// retransmissions of the caller's opening.
 ///
-/// What goes wrong without the second: callers move to a zone whose servers are
-/// full while those of the others are idle. An instance sees only what it sent
-/// itself, a request at one server in ten, so no server looks busy to it. What
-/// all instances of the zone have in progress is about what this one has, times
-/// their number. Worth 0.034 on a day on which half of a zone's callers move to
-/// another before a burst of 1.8 times (0.898 without, 0.932 with it).
+/// Without the load estimate: if callers move to a zone, its servers are full
+/// while those of the other zones are idle. An instance sees only its own
+/// requests, one at every tenth server, so no server looks busy to it. The load
+/// of the zone is estimated as the load of this instance times the number of
+/// instances in the zone. On a day on which half of a zone's callers move to
+/// another zone before a burst of 1.8 times the usual load, this raises the
+/// score by 0.034 (0.898 without the estimate, 0.932 with it).
 class Zones {
 public:
   Zones(std::string own, ZoneOptions options)
-      : Own(std::move(own)), Options(options) {}
+      : OwnZone(std::move(own)), Options(options) {}
 
   void setInstances(const std::vector<ZonedInstance> &instances);
 
-  /// A server of a zone has answered.
+  /// Records that a server of the zone has answered.
   void recordAnswer(const std::string &zone);
-  /// One has left an opening or a request unanswered. True: its zone has become
-  /// suspect.
+  /// Records that a server has left an opening or a request unanswered. Returns
+  /// true if this makes its zone suspect.
   bool recordMiss(const Backend &server, Time now);
   bool isSuspect(const std::string &zone, Time now) const;
 
-  /// What this instance has in progress at servers of its zone, and the slots
-  /// of those; of one service.
+  /// Records the load that this instance has in progress for one service at the
+  /// servers of its own zone, and the slots of these servers.
   void recordLoad(ServiceId service, uint32_t load, uint32_t slots, Time now);
-  /// The share of a service's new flows that choose among all zones.
+  /// Returns the share of a service's new flows that choose among all zones.
   double spillShare(ServiceId service) const;
 
 private:
   struct Evidence {
-    uint32_t Missed = 0;
-    BackendId Last;
+    uint32_t Misses = 0;
+    BackendId LastMissed;
     Time SuspectUntil;
   };
   struct Load {
@@ -78,12 +81,12 @@
     Time At;
   };
 
-  std::string Own;
+  std::string OwnZone;
   ZoneOptions Options;
-  uint32_t InstancesHere = 1;
+  uint32_t InstancesInZone = 1;
   std::map<std::string, Evidence> ByZone;
-  /// No zone is suspect after this: most of the time nothing has to be looked
-  /// up for each of thousands of servers.
+  /// No zone is suspect after this time. In the usual case this saves a look-up
+  /// for each of thousands of servers.
   Time AnySuspectUntil;
   std::unordered_map<uint32_t, Load> ByService;
 };
--- a/lib/token/Backends.cpp
+++ b/lib/token/Backends.cpp
@@ -19,16 +19,16 @@
   BackendIndex i = 0;
   if (Free.empty()) {
     i = indexEnd();
-    Slots.emplace_back();
+    Entries.emplace_back();
   } else {
     i = Free.back();
     Free.pop_back();
-    Slots[i] = {};
+    Entries[i] = {};
   }
   ById[info.Id.Value] = i;
   ByToken[tokenOf(info.Id).Value].push_back(i);
   ByService[info.Service.Value].push_back(i);
-  ++Living;
+  ++LiveCount;
   return i;
 }
 
@@ -37,54 +37,54 @@
   bool fresh = i == NoBackend;
   if (fresh)
     i = add(info);
-  Backend &backend = Slots[i];
+  Backend &backend = Entries[i];
   int64_t known = backend.Info.StartedAtMs;
   if (known != 0 && info.StartedAtMs != 0 && info.StartedAtMs < known)
     return false;
   BackendState before = backend.State;
   RegistrationOrder first = backend.Info.Order;
   backend.Info = info;
-  // A restored registry shows an old registration in a new generation; it is
-  // no newer than one that took its address since.
+  // A restored registry lists an old registration in a new generation. It is no
+  // newer than a registration that has taken over its address since.
   if (!fresh && first.Revision == info.Order.Revision)
     backend.Info.Order = first;
   backend.ZoneDrained = Drained.contains(info.Zone);
   if (info.StartedAtMs == 0)
     backend.Info.StartedAtMs = known;
   else if (known != 0 && info.StartedAtMs > known)
-    beginLife(i);
-  if (!claimAddress(i, now)) {
+    resetObservations(i);
+  if (!takeAddress(i, now)) {
     if (before != BackendState::Gone)
-      end(i, now);
+      markGone(i, now);
     return false;
   }
-  // It had been given up on, and lives after all.
+  // The server was considered gone but is still running.
   if (before == BackendState::Gone)
-    ++Living;
+    ++LiveCount;
   backend.State = info.Draining ? BackendState::Draining : BackendState::Ready;
   return fresh || before != backend.State;
 }
 
-bool Backends::claimAddress(BackendIndex i, Time now) {
-  const Registration &own = Slots[i].Info;
+bool Backends::takeAddress(BackendIndex i, Time now) {
+  const Registration &own = Entries[i].Info;
   auto it = ByAddress.try_emplace(own.Where.packed(), i).first;
   BackendIndex owner = it->second;
-  const Registration &other = Slots[owner].Info;
+  const Registration &other = Entries[owner].Info;
   if (owner == i)
     return true;
   bool same = other.Where == own.Where && other.Order != own.Order;
   if (same && other.Order > own.Order)
     return false;
   it->second = i;
-  if (same && Slots[owner].State != BackendState::Gone)
-    end(owner, now);
+  if (same && Entries[owner].State != BackendState::Gone)
+    markGone(owner, now);
   return true;
 }
 
-void Backends::end(BackendIndex i, Time now) {
-  Slots[i].State = BackendState::Gone;
-  Slots[i].LostAt = now;
-  --Living;
+void Backends::markGone(BackendIndex i, Time now) {
+  Entries[i].State = BackendState::Gone;
+  Entries[i].LostAt = now;
+  --LiveCount;
   Ended.push_back(i);
 }
 
@@ -92,7 +92,7 @@
   BackendIndex i = find(id);
   if (i == NoBackend)
     return false;
-  Backend &backend = Slots[i];
+  Backend &backend = Entries[i];
   if (backend.State == BackendState::Gone ||
       backend.State == BackendState::Missing)
     return false;
@@ -106,28 +106,28 @@
       active ? Drained.try_emplace(zone, now).second : Drained.erase(zone) != 0;
   if (!changed)
     return false;
-  for (Backend &it : Slots)
+  for (Backend &it : Entries)
     if (it.Info.Zone == zone)
       it.ZoneDrained = active;
   return true;
 }
 
-void Backends::beginLife(BackendIndex i) {
-  Backend &backend = Slots[i];
+void Backends::resetObservations(BackendIndex i) {
+  Backend &backend = Entries[i];
   backend.Unanswered = 0;
   backend.Suspicions = 0;
   backend.SuspectUntil = {};
   backend.LastProgress = {};
-  // A probe that is under way still ends, and must find its entry.
+  // A probe that is under way will still end and must find its entry.
   backend.Probes = {.Probing = backend.Probes.Probing};
-  Reborn.push_back(i);
+  Restarted.push_back(i);
 }
 
 bool Backends::markUnreadable(BackendId id) {
   BackendIndex i = find(id);
   if (i == NoBackend)
     return false;
-  Backend &backend = Slots[i];
+  Backend &backend = Entries[i];
   if (backend.State == BackendState::Gone ||
       backend.State == BackendState::Unreadable)
     return false;
@@ -137,28 +137,28 @@
 
 std::vector<BackendIndex> Backends::expire(bool trusted, Time now) {
   for (BackendIndex i = 0; i < indexEnd(); ++i) {
-    Backend &backend = Slots[i];
+    Backend &backend = Entries[i];
     if (backend.Info.Id.Value == 0)
       continue;
     if (backend.State == BackendState::Missing && trusted) {
-      end(i, now);
+      markGone(i, now);
     } else if (backend.State == BackendState::Gone &&
                now - backend.LostAt > Times.GoneRetention) {
-      forget(i);
+      remove(i);
     }
   }
   return std::exchange(Ended, {});
 }
 
-void Backends::forget(BackendIndex i) {
-  const Registration &info = Slots[i].Info;
+void Backends::remove(BackendIndex i) {
+  const Registration &info = Entries[i].Info;
   ById.erase(info.Id.Value);
   auto address = ByAddress.find(info.Where.packed());
   if (address != ByAddress.end() && address->second == i)
     ByAddress.erase(address);
   eraseValue(ByToken[tokenOf(info.Id).Value], i);
   eraseValue(ByService[info.Service.Value], i);
-  Slots[i] = {};
+  Entries[i] = {};
   Free.push_back(i);
 }
 
@@ -178,11 +178,11 @@
 }
 
 bool Backends::sharesToken(BackendIndex i) const {
-  const Backend &one = Slots[i];
+  const Backend &one = Entries[i];
   const std::vector<BackendIndex> &same = withToken(tokenOf(one.Info.Id));
   return std::any_of(same.begin(), same.end(), [&](BackendIndex other) {
-    return other != i && Slots[other].Info.Service == one.Info.Service &&
-           Slots[other].State != BackendState::Gone;
+    return other != i && Entries[other].Info.Service == one.Info.Service &&
+           Entries[other].State != BackendState::Gone;
   });
 }
 
--- a/lib/token/FlowTracking.cpp
+++ b/lib/token/FlowTracking.cpp
@@ -1,5 +1,5 @@
-// What a core remembers of the flows that it carries: who has an opening or a
-// request under way, and when that ends.
+// Tracks the flows that a core forwards: which of them have an opening or a
+// request in progress, and when that ends.
 
 #include "chicorybank/token/Core.h"
 
@@ -10,61 +10,61 @@
 namespace {
 
 // A caller gives up an opening after 1.4 s.
-constexpr Duration OpeningLife = std::chrono::milliseconds(1500);
-// The longest deadline of a request that is plausible; a flow that looks busy
-// for longer has lost its last packet.
-constexpr Duration BusyLife = std::chrono::seconds(10);
-// A new time counts an eighth, as in TCP's estimate of the round trip (RFC
+constexpr Duration MaxOpeningAge = std::chrono::milliseconds(1500);
+// The longest plausible deadline of a request. If a request seems to be in
+// progress for longer, the last packet of its flow was lost.
+constexpr Duration MaxRequestAge = std::chrono::seconds(10);
+// A new sample counts an eighth, as in the round-trip estimate of TCP (RFC
 // 6298).
-constexpr int SmoothingShare = 8;
-// Callers send data again after 200 ms at the earliest.
-constexpr Duration RetransmitGap = std::chrono::milliseconds(150);
+constexpr int SmoothingDivisor = 8;
+// Callers retransmit data after 200 ms at the earliest.
+constexpr Duration MinRetransmitInterval = std::chrono::milliseconds(150);
 
 } // namespace
 
-void Core::follow(const FlowPacket &head, BackendIndex i, Time now,
-                  Actions &actions) {
+void Core::trackPacket(const FlowPacket &head, BackendIndex i, Time now,
+                       Actions &actions) {
   FlowKey key = head.key();
   if (head.Finish || head.Reset)
     return forget(key);
-  FlowState &flow = remember(key, i, now);
+  FlowState &flow = trackFlow(key, i, now);
   if (flow.Opening) {
     flow.Opening = false;
     --Servers.at(i).Opening;
     if (flow.SentAt != Time{}) {
       Duration took = now - flow.SentAt;
-      Handshake += (took - Handshake) / SmoothingShare;
+      Handshake += (took - Handshake) / SmoothingDivisor;
       Stats.HandshakeTime.add(took);
-      learnRoundTrip(Servers.at(i).Info.Zone, took);
-      progress(i, now);
+      recordRoundTrip(Servers.at(i).Info.Zone, took);
+      recordProgress(i, now);
     }
     flow.LastAcknowledged = head.Acknowledged;
   }
-  followData(head, flow, now, actions);
+  trackData(head, flow, now, actions);
   flow.LastAcknowledged = head.Acknowledged;
 }
 
-void Core::followData(const FlowPacket &head, FlowState &flow, Time now,
-                      Actions &actions) {
+void Core::trackData(const FlowPacket &head, FlowState &flow, Time now,
+                     Actions &actions) {
   bool answered = head.Acknowledged != flow.LastAcknowledged;
-  // A request may acknowledge the end of an answer that came long before it; an
-  // acknowledgement by itself answers what has just come.
+  // A packet with data may acknowledge the end of an answer that arrived long
+  // before. An acknowledgement without data responds to what has just arrived.
   if (answered && head.DataBytes == 0)
-    progress(flow.Backend, now);
+    recordProgress(flow.Backend, now);
   Backend &backend = Servers.at(flow.Backend);
   if (head.DataBytes == 0) {
     if (answered && flow.RequestInProgress) {
       endRequest(flow);
       Duration took = now - flow.RequestSince;
-      RequestWait += (took - RequestWait) / SmoothingShare;
+      ResponseTime += (took - ResponseTime) / SmoothingDivisor;
       Stats.RequestTime.add(took);
     }
     return;
   }
   bool again =
       flow.RequestInProgress && !answered && head.Sequence == flow.LastSequence;
-  if (again && now - flow.DataAt >= RetransmitGap)
-    missed(flow.Backend, now, actions);
+  if (again && now - flow.DataAt >= MinRetransmitInterval)
+    recordUnanswered(flow.Backend, now, actions);
   if (!flow.RequestInProgress) {
     flow.RequestInProgress = true;
     flow.RequestSince = now;
@@ -85,9 +85,10 @@
   return nullptr;
 }
 
-FlowState &Core::remember(const FlowKey &key, BackendIndex i, Time now) {
+FlowState &Core::trackFlow(const FlowKey &key, BackendIndex i, Time now) {
   FlowState *flow = flowOf(key);
-  // The token goes before memory, which may be from before a freeze.
+  // The token takes precedence over the record, which may be from before the
+  // process was suspended.
   BackendId other;
   if (flow && flow->Backend != i) {
     if (flow->AlsoSentTo == Servers.at(i).Info.Id)
@@ -133,12 +134,12 @@
   Flows.erase(it);
 }
 
-/// A caller opens a flow from a port that it used for an earlier one, whose end
-/// went through another instance. Opened where the earlier one was, the new
-/// flow could go to a server that takes nothing new for long.
-void Core::forgetFormer(const FlowKey &key, Time now) {
+/// A caller may open a flow from a port that it used for an earlier flow whose
+/// end went through another instance. If the new flow went to the server of the
+/// earlier one, that server could have stopped accepting new flows long ago.
+void Core::forgetEarlierFlow(const FlowKey &key, Time now) {
   const FlowState *flow = flowOf(key);
-  if (flow && now - flow->FirstSeen > OpeningLife)
+  if (flow && now - flow->FirstSeen > MaxOpeningAge)
     forget(key);
 }
 
@@ -146,12 +147,12 @@
   for (auto it = Flows.begin(); it != Flows.end();) {
     FlowState &flow = it->second;
     Duration idle = now - flow.LastSeen;
-    if (idle > (flow.Opening ? OpeningLife : Routes.idleTimeout())) {
+    if (idle > (flow.Opening ? MaxOpeningAge : Routes.idleTimeout())) {
       release(flow);
       it = Flows.erase(it);
       continue;
     }
-    if (flow.RequestInProgress && idle > BusyLife) {
+    if (flow.RequestInProgress && idle > MaxRequestAge) {
       endRequest(flow);
     }
     ++it;
--- a/lib/token/Reachability.cpp
+++ b/lib/token/Reachability.cpp
@@ -1,4 +1,4 @@
-// What is done about backend servers that may be unreachable (Reachability.h).
+// Handles backend servers that may be unreachable (Reachability.h).
 
 #include "chicorybank/token/Core.h"
 
@@ -9,42 +9,45 @@
 
 namespace {
 
-// A slow link delays a probe as much as it delays openings.
-constexpr int HandshakesInTimeout = 4;
-// A far zone is asked with as much patience as its distance calls for.
-constexpr int RoundTripsInTimeout = 4;
-// Of the longest round trip so much is left at each shorter one, so that a
-// single slow one is forgotten after some ten.
+// Timeout of a probe in handshakes: a slow link delays probes as much as
+// openings.
+constexpr int TimeoutHandshakes = 4;
+// Timeout of a probe in round trips to the server's zone, so that it allows for
+// the distance.
+constexpr int TimeoutRoundTrips = 4;
+// Factor on the longest round trip at each shorter one, so that a single slow
+// round trip is forgotten after about ten others.
 constexpr double RoundTripDecay = 0.8;
 
 } // namespace
 
-/// No probe of it is under way, and none has ended just now.
+/// Returns true if no probe of the server is under way or has just ended.
 bool Core::mayProbe(const Reachability &reach, Time now) const {
   Time endedAt = std::max(reach.AnsweredAt, reach.FailedAt);
   return !reach.Probing && now - endedAt >= Options.Probing.MinInterval;
 }
 
-/// Something sent to a server has no answer yet. That alone proves nothing.
-void Core::doubt(BackendIndex i, Time now, Actions &actions) {
+/// Probes a server that has not answered something yet, which alone proves
+/// nothing.
+void Core::probeIfDue(BackendIndex i, Time now, Actions &actions) {
   if (Options.Enabled.Probes && mayProbe(Servers.at(i).Probes, now))
-    probe(i, now, actions);
+    startProbe(i, now, actions);
 }
 
-/// Probes a server. After a failure one to a server that answered lately goes
-/// out with it.
-void Core::probe(BackendIndex i, Time now, Actions &actions) {
+/// Probes a server. After a failure, a server that answered recently is probed
+/// together with it.
+void Core::startProbe(BackendIndex i, Time now, Actions &actions) {
   Reachability &reach = Servers.at(i).Probes;
   if (reach.Failures == 0) {
     reach.SeriesStartedAt = now;
     reach.Inconclusive = 0;
   }
   reach.Timeout =
-      std::max({Options.Probing.Timeout, Handshake * HandshakesInTimeout,
-                roundTrip(Servers.at(i).Info.Zone) * RoundTripsInTimeout});
+      std::max({Options.Probing.Timeout, Handshake * TimeoutHandshakes,
+                roundTrip(Servers.at(i).Info.Zone) * TimeoutRoundTrips});
   if (reach.Failures != 0) {
     reach.Timeout *= Options.Probing.RetryTimeoutFactor;
-    BackendIndex other = lastToAnswer(i);
+    BackendIndex other = lastAnsweringServer(i);
     reach.ComparisonServer = {};
     if (other != NoBackend) {
       reach.ComparisonServer = Servers.at(other).Info.Id;
@@ -65,9 +68,10 @@
                                     .Timeout = backend.Probes.Timeout});
 }
 
-/// The server, other than `i`, that showed life last and is not in doubt. One
-/// that is being probed could not tell how long this probe takes.
-BackendIndex Core::lastToAnswer(BackendIndex i) const {
+/// Returns the server, other than `i`, that showed a sign of life last and has
+/// no failed probe. A server that is being probed already can't be used, since
+/// the time of its answer would not belong to this probe.
+BackendIndex Core::lastAnsweringServer(BackendIndex i) const {
   BackendIndex out = NoBackend;
   Time newest;
   for (BackendIndex other = 0; other < Servers.indexEnd(); ++other) {
@@ -90,121 +94,127 @@
   Reachability &reach = backend.Probes;
   reach.Probing = false;
   if (event.Outcome == ProbeOutcome::Reached) {
-    addressAnswers(i, now, actions);
+    onAddressAnswered(i, now, actions);
     reach.AnsweredAt = now;
-    noteLink(i, now);
-    learnRoundTrip(backend.Info.Zone, now - reach.SentAt);
+    recordLinkAnswer(i, now);
+    recordRoundTrip(backend.Info.Zone, now - reach.SentAt);
     return;
   }
-  // A probe that was under way while this process stood still shows nothing.
+  // A probe that was under way while this process was suspended proves nothing.
   if (event.Outcome == ProbeOutcome::NotTried || reach.SentAt < ResumedAt)
     return;
   ++Stats.ProbesFailed;
   reach.FailedAt = now;
-  if (event.Outcome == ProbeOutcome::Refused && finishing(backend))
+  if (event.Outcome == ProbeOutcome::Refused && isFinishing(backend))
     return;
-  // Its answers go to callers directly, so they may show life all the same.
+  // The server answers callers directly, so it may have shown a sign of life
+  // all the same.
   if (backend.LastProgress >= reach.SeriesStartedAt)
-    return showedLife(reach, now);
-  probeFailed(i, now, actions);
+    return recordSignOfLife(reach, now);
+  onProbeFailed(i, now, actions);
 }
 
-/// A server that leaves stops to listen before it has answered its last
-/// requests. What goes wrong without: their flows are reset although the
-/// answers are on their way, in a planned stop. That it has ended shows when
-/// its registration does.
-bool Core::finishing(const Backend &backend) {
+/// Returns true if the server is shutting down as planned. It stops listening
+/// before it has answered its last requests. Without this check, a planned stop
+/// resets flows whose answers are on their way. The end of its registration
+/// shows that it has ended.
+bool Core::isFinishing(const Backend &backend) {
   return backend.State == BackendState::Draining;
 }
 
-/// A probe shows that somebody listens at the server's address. Long after the
-/// server was found to be unreachable, that may be the address's next owner.
+/// Handles an answered probe, which shows that a process listens at the
+/// server's address. Long after the server was found unreachable, this may be
+/// the next owner of the address.
 ///
-/// What goes wrong without: a quarter of a service's servers die, and two
-/// seconds later other servers listen at their addresses, while the news of
-/// them is slow. Each answered probe looks like a false alarm, so that nothing
-/// more is concluded of any server, and callers wait until the registrations
-/// lapse; one sees `backend_unreachable` end two seconds after it began, and
-/// answers that take more than a second. Worth 0.005 on a
-/// day on which 30 of 120 servers end so (three runs each; of 2,242 requests in
-/// the two seconds after it 136 were late without, 110 with it).
-void Core::addressAnswers(BackendIndex i, Time now, Actions &actions) {
+/// Without this, if a quarter of a service's servers crash, other servers
+/// listen at their addresses two seconds later, while the updates about them
+/// are late. Each answered probe looks like a false alarm, so no server is
+/// declared unreachable any more, and callers wait until the registrations
+/// expire. The symptoms are `backend_unreachable` events that stop two seconds
+/// after they began, and answers that take more than a second. On a day on
+/// which 30 of 120 servers end like this, it raises the score by 0.005 (three
+/// runs each; of 2,242 requests in the two seconds after that, 136 were late
+/// without it and 110 with it).
+void Core::onAddressAnswered(BackendIndex i, Time now, Actions &actions) {
   Reachability &reach = Servers.at(i).Probes;
   bool another =
-      distrusted(reach, now) &&
+      isDistrusted(reach, now) &&
       now - reach.SeriesStartedAt >= Options.Probing.AddressReusedAfter;
   if (!another)
-    return showedLife(reach, now);
+    return recordSignOfLife(reach, now);
   reach.Failures = 0;
-  resetWaitingAt(i, now, actions);
+  resetWaitingRequestsAt(i, now, actions);
 }
 
-bool Core::distrusted(const Reachability &reach, Time now) const {
+bool Core::isDistrusted(const Reachability &reach, Time now) const {
   return reach.FoundUnreachable &&
          now - reach.FailedAt <= Options.Probing.DistrustFor;
 }
 
-/// Requests that may be repeated and have waited for longer than usual.
-void Core::resetWaitingAt(BackendIndex i, Time now, Actions &actions) {
+/// Resets the flows whose requests may be repeated and have waited for longer
+/// than usual.
+void Core::resetWaitingRequestsAt(BackendIndex i, Time now, Actions &actions) {
   auto waits = [&](const FlowKey &key, const FlowState &flow) {
     const Route *route = Routes.find(key.Destination);
     return flow.RequestInProgress && route && route->Idempotent &&
-           now - flow.RequestSince >= requestPatience();
+           now - flow.RequestSince >= requestTimeout();
   };
   resetFlows(flowsOf(i, waits), Reason::BackendUnreachable, now, actions);
 }
 
-void Core::showedLife(Reachability &reach, Time now) {
+void Core::recordSignOfLife(Reachability &reach, Time now) {
   if (std::exchange(reach.Failures, 0) != 0)
     FalseAlarmAt = now;
 }
 
-void Core::probeFailed(BackendIndex i, Time now, Actions &actions) {
+void Core::onProbeFailed(BackendIndex i, Time now, Actions &actions) {
   Backend &backend = Servers.at(i);
   Reachability &reach = backend.Probes;
-  suspect(i, now, actions);
-  // How long an answer from a zone takes that was never heard is not known.
+  markSuspect(i, now, actions);
+  // If no server of the zone has answered yet, the usual response time of the
+  // zone is unknown.
   bool knownDistance = backend.Info.Zone == Options.Zone ||
                        RoundTrips.contains(backend.Info.Zone);
   if (reach.Failures != 0 && !knownDistance)
     return;
   if (reach.Failures != 0 && !linkWorked(i)) {
-    if (!comparedAnswered(i))
-      probeOnceMore(i, now, actions);
+    if (!comparisonServerAnswered(i))
+      repeatProbe(i, now, actions);
     return;
   }
   if (++reach.Failures < Options.Probing.UnreachableAfter)
-    return probe(i, now, actions);
-  if (falseAlarmLately(now))
+    return startProbe(i, now, actions);
+  if (hadRecentFalseAlarm(now))
     return;
   reach.UnreachableUntil = now + Options.Probing.UnreachableFor;
   reach.FoundUnreachable = true;
-  decided({.What = "backend_unreachable",
-           .Why = Reason::BackendUnreachable,
-           .Backend = backend.Info.Id},
-          now, actions);
+  addDecision({.What = "backend_unreachable",
+               .Why = Reason::BackendUnreachable,
+               .Backend = backend.Info.Id},
+              now, actions);
   if (Options.Enabled.SharedDoubts)
     actions.emplace_back(ReportUnreachable{.Id = backend.Info.Id});
-  resetHopelessFlowsOf(i, now, actions);
+  resetFlowsOfUnreachable(i, now, actions);
 }
 
-/// The server that was asked for comparison did not answer either. It may have
-/// died with this one: where a quarter of hundreds fall silent at once, and an
-/// instance hears from each seldom, the last one to answer is dead one time in
-/// four. The next one is asked for comparison then, at once; waiting for the
-/// next doubt leaves callers without a reset for seconds. Where it is this
-/// instance's link, further probes fail alike, and only few are made; a late
-/// answer shows a slow link, and nothing more is asked.
-void Core::probeOnceMore(BackendIndex i, Time now, Actions &actions) {
+/// Repeats a probe because the comparison server did not answer either. The
+/// comparison server may have failed at the same time: if a quarter of hundreds
+/// of servers stop answering at once and an instance rarely gets answers from
+/// each, the last one to answer has failed in one case out of four. So another
+/// comparison server is probed at once; waiting for the next unanswered request
+/// would leave callers without a reset for seconds. If the cause is this
+/// instance's link, the repeated probes fail too, and their number is limited.
+/// A late answer indicates a slow link, and no probe is repeated.
+void Core::repeatProbe(BackendIndex i, Time now, Actions &actions) {
   Reachability &reach = Servers.at(i).Probes;
   if (reach.Inconclusive >= Options.Probing.MaxInconclusive)
     return;
   ++reach.Inconclusive;
-  probe(i, now, actions);
+  startProbe(i, now, actions);
 }
 
-/// The other instance's probes stand for the first one here. A server that this
-/// instance has nothing to do with can wait.
+/// The report counts as the first failed probe. A server without flows here and
+/// in another zone is not probed.
 void Core::on(const BackendReportedUnreachable &event, Time now,
               Actions &actions) {
   BackendIndex i = Servers.find(event.Id);
@@ -218,18 +228,19 @@
   reach.SeriesStartedAt = now;
   reach.Inconclusive = 0;
   reach.Failures = 1;
-  probe(i, now, actions);
+  startProbe(i, now, actions);
 }
 
-/// A probe of another server was answered: the link works, as far as the probes
-/// that are under way can tell. Only the first such answer counts for each.
+/// Records that a probe of another server was answered, which shows that the
+/// link works for the probes under way. Only the first such answer counts for
+/// each probe.
 ///
-/// What goes wrong with the last one: an instance has flows at a dozen servers
-/// that die together, and asks the same one for comparison with each. The
-/// answer to a later probe hides the one that came in time, and half of all
-/// rows end without a conclusion; one sees callers who wait a second or two
+/// If the last one counted: an instance has flows at a dozen servers that crash
+/// together, and probes the same server for comparison with each of them. The
+/// answer to a later probe hides the answer that came in time, and half of all
+/// series end without a result. The symptom is callers who wait a second or two
 /// longer.
-void Core::noteLink(BackendIndex answered, Time now) {
+void Core::recordLinkAnswer(BackendIndex answered, Time now) {
   for (BackendIndex i = 0; i < Servers.indexEnd(); ++i) {
     Reachability &reach = Servers.at(i).Probes;
     bool first = reach.LinkWorkedAt < reach.SentAt;
@@ -238,24 +249,24 @@
   }
 }
 
-/// While the last probe of a server was under way, a probe of another one was
-/// answered, and quickly.
+/// Returns true if a probe of another server was answered quickly while the
+/// last probe of this server was under way.
 bool Core::linkWorked(BackendIndex i) const {
   const Reachability &reach = Servers.at(i).Probes;
   Time soon = reach.SentAt + reach.Timeout / Options.Probing.RetryTimeoutFactor;
   return reach.LinkWorkedAt >= reach.SentAt && reach.LinkWorkedAt <= soon;
 }
 
-/// The server that was asked with the last probe of this one has answered,
+/// Returns true if the comparison server of the last probe has answered,
 /// however late.
-bool Core::comparedAnswered(BackendIndex i) const {
+bool Core::comparisonServerAnswered(BackendIndex i) const {
   const Reachability &reach = Servers.at(i).Probes;
   BackendIndex other = Servers.find(reach.ComparisonServer);
   return other != NoBackend &&
          Servers.at(other).Probes.AnsweredAt >= reach.SentAt;
 }
 
-void Core::learnRoundTrip(const std::string &zone, Duration took) {
+void Core::recordRoundTrip(const std::string &zone, Duration took) {
   Duration &longest = RoundTrips[zone];
   auto left = std::chrono::duration_cast<Duration>(longest * RoundTripDecay);
   longest = std::max(took, left);
@@ -266,39 +277,41 @@
   return it == RoundTrips.end() ? Duration::zero() : it->second;
 }
 
-/// A request for a server that can't be reached: its caller is told at once, if
-/// it may ask again. Returns true where that was done.
+/// Resets the flow of a request for an unreachable server at once if the caller
+/// may repeat the request. Returns true if it did.
 ///
-/// A request that must not run twice is passed on: if the belief is wrong it is
-/// served, and if not, its caller could not have repeated it anyway.
-bool Core::resetUnreachable(const FlowPacket &head, BackendIndex i, Time now,
-                            Actions &actions) {
+/// A request that must not run twice is forwarded: if the server is reachable
+/// after all, the request is served; if not, its caller could not have repeated
+/// it anyway.
+bool Core::resetIfUnreachable(const FlowPacket &head, BackendIndex i, Time now,
+                              Actions &actions) {
   const Reachability &reach = Servers.at(i).Probes;
   if (reach.Failures == 0)
     return false;
-  doubt(i, now, actions);
+  probeIfDue(i, now, actions);
   const Route *route = Routes.find(head.Route);
   bool request = head.DataBytes != 0 && !head.Finish && !head.Reset;
   if (!request || !route || !route->Idempotent ||
-      now >= reach.UnreachableUntil || falseAlarmLately(now))
+      now >= reach.UnreachableUntil || hadRecentFalseAlarm(now))
     return false;
   forget(head.key());
   reset(head, Reason::BackendUnreachable, i, now, actions);
   return true;
 }
 
-/// Flows of a server that can't be reached, where their callers gain by it:
+/// Resets the flows of an unreachable server whose callers gain by it:
 ///
-/// - a request under way that may be repeated: its caller repeats it at once;
-/// - no request under way, and the next one must not run twice: sent on this
-///   flow it would be lost, since a caller can't know whether it ran. On a new
-///   flow it runs elsewhere.
+/// - a request is in progress that may be repeated: its caller repeats it at
+///   once;
+/// - no request is in progress, and the next one must not run twice: if it were
+///   sent on this flow it would be lost, and a caller can't know whether it
+///   ran. On a new flow it runs at another server.
 ///
-/// An idle flow whose requests may be repeated stays: if its next request comes
-/// while the server is still unreachable, it is reset then, and its caller has
-/// lost a round trip.
-void Core::resetHopelessFlowsOf(BackendIndex i, Time now, Actions &actions) {
-  auto hopeless = [&](const FlowKey &key, const FlowState &flow) {
+/// An idle flow whose requests may be repeated stays open: if its next request
+/// arrives while the server is still unreachable, the flow is reset then, which
+/// costs its caller one round trip.
+void Core::resetFlowsOfUnreachable(BackendIndex i, Time now, Actions &actions) {
+  auto gainsByReset = [&](const FlowKey &key, const FlowState &flow) {
     const Route *route = Routes.find(key.Destination);
     if (!route || flow.Opening)
       return false;
@@ -306,19 +319,20 @@
     bool idle = !flow.RequestInProgress && !route->Idempotent;
     return repeatable || (idle && Options.Enabled.IdleResets);
   };
-  resetFlows(flowsOf(i, hopeless), Reason::BackendUnreachable, now, actions);
+  resetFlows(flowsOf(i, gainsByReset), Reason::BackendUnreachable, now,
+             actions);
 }
 
-Duration Core::requestPatience() const {
+Duration Core::requestTimeout() const {
   return std::max(Options.Probing.RequestTimeoutMin,
-                  RequestWait * Options.Probing.RequestTimeoutFactor);
+                  ResponseTime * Options.Probing.RequestTimeoutFactor);
 }
 
-/// Doubts the servers of requests that wait for longer than usual while the
-/// server shows no progress with any other.
+/// Probes the servers of requests that have waited for longer than usual,
+/// unless the server has answered any other request meanwhile.
 void Core::checkRequests(Time now, Actions &actions) {
-  Duration patience = requestPatience();
-  while (!Requests.empty() && now - Requests.front().SentAt >= patience) {
+  Duration timeout = requestTimeout();
+  while (!Requests.empty() && now - Requests.front().SentAt >= timeout) {
     Request it = Requests.front();
     Requests.pop_front();
     FlowState *flow = flowOf(it.Flow);
@@ -326,10 +340,11 @@
         Servers.at(flow->Backend).LastProgress >= it.SentAt)
       continue;
     const Reachability &reach = Servers.at(flow->Backend).Probes;
-    if (reach.Failures == 0 && distrusted(reach, now) && !falseAlarmLately(now))
-      resetWaitingAt(flow->Backend, now, actions);
+    if (reach.Failures == 0 && isDistrusted(reach, now) &&
+        !hadRecentFalseAlarm(now))
+      resetWaitingRequestsAt(flow->Backend, now, actions);
     else
-      doubt(flow->Backend, now, actions);
+      probeIfDue(flow->Backend, now, actions);
   }
 }
 
--- a/lib/token/WarmUp.cpp
+++ b/lib/token/WarmUp.cpp
@@ -13,9 +13,10 @@
       Services[it.Service.Value] = it;
 }
 
-void WarmUpLimits::setInstances(std::vector<ZonedInstance> peers, Time now) {
-  Peers = std::move(peers);
-  bool listed = std::any_of(Peers.begin(), Peers.end(),
+void WarmUpLimits::setInstances(std::vector<ZonedInstance> instances,
+                                Time now) {
+  Instances = std::move(instances);
+  bool listed = std::any_of(Instances.begin(), Instances.end(),
                             [&](const auto &it) { return it.Id == Self; });
   ListedSince = listed ? std::min(ListedSince, now) : Time::max();
 }
@@ -32,8 +33,8 @@
     server.WarmUpUntil = std::max(server.WarmUpUntil, now + it->second.Lasts);
 }
 
-const ServiceWarmUp *WarmUpLimits::limitOf(const Backend &server,
-                                           Time now) const {
+const ServiceWarmUp *WarmUpLimits::limitFor(const Backend &server,
+                                            Time now) const {
   if (now >= server.WarmUpUntil)
     return nullptr;
   auto it = Services.find(server.Info.Service.Value);
@@ -41,29 +42,29 @@
 }
 
 bool WarmUpLimits::mayOpen(const Backend &server, Time now) const {
-  if (!limitOf(server, now))
+  if (!limitFor(server, now))
     return true;
   bool settled =
       ListedSince != Time::max() && now - ListedSince >= SettlingTime;
-  return settled && now >= server.NextWarmUpFlow && isOpenerOf(server);
+  return settled && now >= server.NextWarmUpFlow && opensFlowsFor(server);
 }
 
 void WarmUpLimits::onFlowOpened(Backend &server, Time now) const {
-  const ServiceWarmUp *limit = limitOf(server, now);
+  const ServiceWarmUp *limit = limitFor(server, now);
   if (!limit)
     return;
   std::chrono::duration<double> gap(1 / limit->FlowsPerSecond);
   server.NextWarmUpFlow = now + std::chrono::duration_cast<Duration>(gap);
 }
 
-bool WarmUpLimits::isOpenerOf(const Backend &server) const {
+bool WarmUpLimits::opensFlowsFor(const Backend &server) const {
   InstanceId opener;
   uint64_t highest = 0;
   bool inZone = false;
-  for (const ZonedInstance &it : Peers) {
+  for (const ZonedInstance &it : Instances) {
     bool same = it.Zone == server.Info.Zone;
     uint64_t hash = mixHash(server.Info.Id.Value, it.Id.Value);
-    // Where the zone has no instance, one of another zone takes its place.
+    // If the zone has no instance, an instance of another zone is selected.
     if (same < inZone || (same == inZone && hash < highest))
       continue;
     inZone = same;
--- a/lib/token/Zones.cpp
+++ b/lib/token/Zones.cpp
@@ -7,8 +7,8 @@
 
 void Zones::setInstances(const std::vector<ZonedInstance> &instances) {
   auto n = std::count_if(instances.begin(), instances.end(),
-                         [&](const auto &it) { return it.Zone == Own; });
-  InstancesHere = static_cast<uint32_t>(std::max<int64_t>(n, 1));
+                         [&](const auto &it) { return it.Zone == OwnZone; });
+  InstancesInZone = static_cast<uint32_t>(std::max<int64_t>(n, 1));
 }
 
 void Zones::recordAnswer(const std::string &zone) {
@@ -18,14 +18,14 @@
 }
 
 bool Zones::recordMiss(const Backend &server, Time now) {
-  // An instance is not cut off from its own zone.
-  if (server.Info.Zone == Own)
+  // An instance can't be cut off from its own zone.
+  if (server.Info.Zone == OwnZone)
     return false;
   Evidence &evidence = ByZone[server.Info.Zone];
-  if (evidence.Last == server.Info.Id)
+  if (evidence.LastMissed == server.Info.Id)
     return false;
-  evidence.Last = server.Info.Id;
-  if (++evidence.Missed < Options.SuspectAfter || now < evidence.SuspectUntil)
+  evidence.LastMissed = server.Info.Id;
+  if (++evidence.Misses < Options.SuspectAfter || now < evidence.SuspectUntil)
     return false;
   evidence.SuspectUntil = now + Options.SuspectFor;
   AnySuspectUntil = std::max(AnySuspectUntil, evidence.SuspectUntil);
@@ -56,7 +56,7 @@
     return 0;
   if (it->second.Slots == 0)
     return 1;
-  double busy = it->second.Smoothed * InstancesHere / it->second.Slots;
+  double busy = it->second.Smoothed * InstancesInZone / it->second.Slots;
   return std::clamp((busy - Options.SpillFrom) /
                         (Options.SpillAll - Options.SpillFrom),
                     0.0, 1.0);
--- a/tests/TokenCoreTest.cpp
+++ b/tests/TokenCoreTest.cpp
@@ -120,7 +120,7 @@
     for (uint16_t port = 1; port <= 500; ++port)
       instance.packet(
           Caller{.Port = port, .Echo = tokenOf(BackendId{9})}.data(1));
-    expectEqual<size_t>(50, instance.Steers.unknownFlows());
+    expectEqual<size_t>(50, instance.UnderTest.unknownFlows());
     section("those that are remembered are reset in time all the same", [&] {
       instance.pass(6s);
       Caller first{.Port = 1, .Echo = tokenOf(BackendId{9})};
@@ -144,7 +144,7 @@
       Caller caller{.Echo = tokenOf(BackendId{5})};
       expectTrue(silent(instance.packet(caller.data(1))), "dropped");
       auto ambiguous = static_cast<size_t>(Reason::AmbiguousToken);
-      expectEqual<uint64_t>(1, instance.Steers.stats().Drops[ambiguous]);
+      expectEqual<uint64_t>(1, instance.UnderTest.stats().Drops[ambiguous]);
     });
   }
 
@@ -211,10 +211,10 @@
     instance.packet(Caller{.Port = 2}.open());
     instance.packet(Caller{.Port = 3}.open());
     instance.pass(60ms);
-    expectTrue(instance.Steers.backends().at(0).isSuspect(instance.Now),
+    expectTrue(instance.UnderTest.backends().at(0).isSuspect(instance.Now),
                "two openings without an answer");
     instance.packet(idle.data(100, 700));
-    expectTrue(instance.Steers.backends().at(0).isSuspect(instance.Now),
+    expectTrue(instance.UnderTest.backends().at(0).isSuspect(instance.Now),
                "still suspect");
   }
 
@@ -259,7 +259,7 @@
     Actions actions = instance.handle(Tick{});
     expectTrue(only<Forward>(actions).empty(), "nothing is sent again");
     for (BackendIndex i = 0; i < 2; ++i)
-      expectTrue(!instance.Steers.backends().at(i).isSuspect(instance.Now),
+      expectTrue(!instance.UnderTest.backends().at(i).isSuspect(instance.Now),
                  "no server is suspect");
   }
 
@@ -271,7 +271,7 @@
     instance.handle(BackendsLearned{.Present = {server(2)}});
     caller.Echo = tokenOf(BackendId{2});
     expectEqual<uint64_t>(2, sentTo(instance.packet(caller.data(1))));
-    expectEqual<uint32_t>(0, instance.Steers.backends().at(0).Flows);
+    expectEqual<uint32_t>(0, instance.UnderTest.backends().at(0).Flows);
   }
 
   void leavesADrainingServer() {
@@ -395,10 +395,10 @@
   // Cause: no packet carried before the last registration is known.
   void servesWhatItKnowsBeforeItKnowsAll() {
     Instance instance;
-    expectTrue(!instance.Steers.canForward(), "nothing is known");
+    expectTrue(!instance.UnderTest.canForward(), "nothing is known");
     instance.handle(RoutesLearned{bothRoutes(1)});
     instance.handle(BackendsLearned{.Present = {server(1)}});
-    expectTrue(instance.Steers.canForward() && !instance.Steers.isReady(),
+    expectTrue(instance.UnderTest.canForward() && !instance.UnderTest.isReady(),
                "a part is known");
     expectEqual<uint64_t>(1, sentTo(instance.packet(Caller{}.open())));
     section("what it does not know yet is not refused", [&] {
@@ -514,8 +514,8 @@
         instance.packet(end);
       }
       for (BackendIndex i = 0; i < 2; ++i) {
-        RC_ASSERT(instance.Steers.backends().at(i).load() == 0);
-        RC_ASSERT(instance.Steers.backends().at(i).Flows == 0);
+        RC_ASSERT(instance.UnderTest.backends().at(i).load() == 0);
+        RC_ASSERT(instance.UnderTest.backends().at(i).Flows == 0);
       }
     });
   }
@@ -541,7 +541,7 @@
     Caller since{.Port = 2, .Echo = tokenOf(BackendId{1})};
     instance.packet(since.data(1));
     instance.pass(1s);
-    expectEqual<uint32_t>(1, instance.Steers.backends().at(0).InProgress);
+    expectEqual<uint32_t>(1, instance.UnderTest.backends().at(0).InProgress);
     // It started two seconds before this was read.
     Actions actions = instance.handle(
         BackendsLearned{.Present = {bornAt(2'000'000)}, .ReadAt = 2'002'000});
--- a/tests/TokenSamples.h
+++ b/tests/TokenSamples.h
@@ -69,11 +69,11 @@
 /// A core with its clock.
 struct Instance {
   explicit Instance(CoreOptions options = {.Zone = "a"})
-      : Steers(std::move(options)) {}
+      : UnderTest(std::move(options)) {}
 
   Actions handle(const Event &event) {
     Actions out;
-    Steers.handle(event, Now, out);
+    UnderTest.handle(event, Now, out);
     return out;
   }
   /// The packet's bytes are those of its sequence, so that tests know them
@@ -87,8 +87,8 @@
     for (Time end = Now + time; Now < end;) {
       Now += 10ms;
       if (current)
-        Steers.handle(FreshnessUpdated{.CurrentAt = Now}, Now, out);
-      Steers.handle(Tick{}, Now, out);
+        UnderTest.handle(FreshnessUpdated{.CurrentAt = Now}, Now, out);
+      UnderTest.handle(Tick{}, Now, out);
     }
     return out;
   }
@@ -101,7 +101,7 @@
   }
 
   Time Now = Start;
-  Core Steers;
+  Core UnderTest;
   std::array<std::byte, 32> Raw{};
 };
 
