--- a/bench/EdgeBench.cpp
+++ b/bench/EdgeBench.cpp
@@ -1,12 +1,12 @@
 // Slopes of the edge: what a packet, an opening, a change of news and a push
 // cost, and how that grows. docs/CAPACITY.md is worked out from them.
 //
-//   build/bench-edge          all figures
-//   build/bench-edge 20000    news of that many servers, with its memory
+// build/bench-edge all figures
+// build/bench-edge 20000 news of that many servers, with its memory
 
 #include "platform/StoreDialect.h"
 
-#include "chicorybank/edge/NewsReader.h"
+#include "chicorybank/edge/RegistryWatcher.h"
 #include "chicorybank/token/Core.h"
 
 #include <chrono>
@@ -132,16 +132,16 @@
 
 void measureNews(size_t servers) {
   platform::StoreDialect dialect;
-  std::string body = dialect.writePage(registrations(servers));
+  std::string body = dialect.serializePage(registrations(servers));
   Findings findings;
   double before = residentBytes();
-  edge::Mirror copy(dialect);
+  edge::RegistryCache copy(dialect);
   double whole = nanoseconds(
-      1, [&](size_t) { copy.replaceAll(*dialect.readPage(body), findings); });
+      1, [&](size_t) { copy.replaceAll(*dialect.parsePage(body), findings); });
   report("list_us, by servers", servers, whole / 1000);
   report("item_bytes, by servers", servers,
          (residentBytes() - before) / static_cast<double>(servers));
-  edge::NewsPush push{.Base = {.Revision = 1}};
+  edge::UpdatePush push{.Base = {.Revision = 1}};
   push.Page.Items.assign(3, registrations(1).Items[0]);
   std::string bytes = edge::encodePush(push);
   report("push_bytes, 3 changes", servers, static_cast<double>(bytes.size()));
--- a/include/chicorybank/token/Mechanisms.h
+++ b/include/chicorybank/token/Mechanisms.h
@@ -40,9 +40,9 @@
   bool HoldAtStart = true;
   /// Instances that start while the registry is down get its content from other
   /// instances.
-  bool Reminders = true;
+  bool OutageGossip = true;
   /// The services that routes led to are recorded for instances that start.
-  bool RouteRecord = true;
+  bool RouteHistory = true;
 
   bool operator==(const Mechanisms &) const = default;
 };
@@ -63,8 +63,8 @@
     {"own_zone_first", &Mechanisms::OwnZoneFirst},
     {"missing_as_last_resort", &Mechanisms::MissingAsLastResort},
     {"hold_at_start", &Mechanisms::HoldAtStart},
-    {"reminders", &Mechanisms::Reminders},
-    {"route_record", &Mechanisms::RouteRecord},
+    {"reminders", &Mechanisms::OutageGossip},
+    {"route_record", &Mechanisms::RouteHistory},
 }};
 
 } // namespace chicory::token
