--- a/lib/token/Backends.cpp
+++ b/lib/token/Backends.cpp
@@ -34,35 +34,35 @@
 
 bool Backends::applyRegistration(const Registration &info, Time now) {
   BackendIndex i = find(info.Id);
-  bool fresh = i == NoBackend;
-  if (fresh)
+  bool isNew = i == NoBackend;
+  if (isNew)
     i = add(info);
   Backend &backend = Entries[i];
-  int64_t known = backend.Info.StartedAtMs;
-  if (known != 0 && info.StartedAtMs != 0 && info.StartedAtMs < known)
+  int64_t knownStart = backend.Info.StartedAtMs;
+  if (knownStart != 0 && info.StartedAtMs != 0 && info.StartedAtMs < knownStart)
     return false;
-  BackendState before = backend.State;
-  RegistrationOrder first = backend.Info.Order;
+  BackendState oldState = backend.State;
+  RegistrationOrder oldOrder = backend.Info.Order;
   backend.Info = info;
   // A restored registry lists an old registration in a new generation. It is no
   // newer than a registration that has taken over its address since.
-  if (!fresh && first.Revision == info.Order.Revision)
-    backend.Info.Order = first;
+  if (!isNew && oldOrder.Revision == info.Order.Revision)
+    backend.Info.Order = oldOrder;
   backend.ZoneDrained = Drained.contains(info.Zone);
   if (info.StartedAtMs == 0)
-    backend.Info.StartedAtMs = known;
-  else if (known != 0 && info.StartedAtMs > known)
+    backend.Info.StartedAtMs = knownStart;
+  else if (knownStart != 0 && info.StartedAtMs > knownStart)
     resetObservations(i);
   if (!takeAddress(i, now)) {
-    if (before != BackendState::Gone)
+    if (oldState != BackendState::Gone)
       markGone(i, now);
     return false;
   }
   // The server was considered gone but is still running.
-  if (before == BackendState::Gone)
+  if (oldState == BackendState::Gone)
     ++LiveCount;
   backend.State = info.Draining ? BackendState::Draining : BackendState::Ready;
-  return fresh || before != backend.State;
+  return isNew || oldState != backend.State;
 }
 
 bool Backends::takeAddress(BackendIndex i, Time now) {
@@ -72,11 +72,11 @@
   const Registration &other = Entries[owner].Info;
   if (owner == i)
     return true;
-  bool same = other.Where == own.Where && other.Order != own.Order;
-  if (same && other.Order > own.Order)
+  bool isConflict = other.Where == own.Where && other.Order != own.Order;
+  if (isConflict && other.Order > own.Order)
     return false;
   it->second = i;
-  if (same && Entries[owner].State != BackendState::Gone)
+  if (isConflict && Entries[owner].State != BackendState::Gone)
     markGone(owner, now);
   return true;
 }
@@ -179,8 +179,8 @@
 
 bool Backends::sharesToken(BackendIndex i) const {
   const Backend &one = Entries[i];
-  const std::vector<BackendIndex> &same = withToken(tokenOf(one.Info.Id));
-  return std::any_of(same.begin(), same.end(), [&](BackendIndex other) {
+  const std::vector<BackendIndex> &sharing = withToken(tokenOf(one.Info.Id));
+  return std::any_of(sharing.begin(), sharing.end(), [&](BackendIndex other) {
     return other != i && Entries[other].Info.Service == one.Info.Service &&
            Entries[other].State != BackendState::Gone;
   });
--- a/lib/token/Core.cpp
+++ b/lib/token/Core.cpp
@@ -62,8 +62,8 @@
     // have its flow at one server and the token of the other. Openings are
     // taken only from a server that does not answer at all, or accepts no new
     // flows, and only if this is a real copy.
-    bool real = flow->Opening && now - flow->SentAt >= MinCopyInterval;
-    if (!real || !avoided)
+    bool isRealCopy = flow->Opening && now - flow->SentAt >= MinCopyInterval;
+    if (!isRealCopy || !avoided)
       return sendOpening(event, flow->Backend, now, actions);
     avoid = flow->Backend;
   }
@@ -136,9 +136,9 @@
   // its flow with the first one. If its token changes to that of the second
   // one, the second one must not get the packets of the flow.
   const FlowState *flow = flowOf(head.key());
-  bool second = flow && i != NoBackend && !flow->Opening &&
-                flow->AlsoSentTo == Servers.at(i).Info.Id;
-  if (flow && (second || (i == NoBackend && head.Echo.Value == 0)))
+  bool isSecondServer = flow && i != NoBackend && !flow->Opening &&
+                        flow->AlsoSentTo == Servers.at(i).Info.Id;
+  if (flow && (isSecondServer || (i == NoBackend && head.Echo.Value == 0)))
     i = flow->Backend;
   if (i == NoBackend) {
     drop(head, why, now, actions);
--- a/lib/token/Reachability.cpp
+++ b/lib/token/Reachability.cpp
@@ -77,8 +77,8 @@
   for (BackendIndex other = 0; other < Servers.indexEnd(); ++other) {
     const Backend &it = Servers.at(other);
     Time answered = std::max(it.LastProgress, it.Probes.AnsweredAt);
-    bool inDoubt = it.Probes.Failures != 0 || it.Probes.Probing;
-    if (other == i || inDoubt || answered <= newest)
+    bool unsuitable = it.Probes.Failures != 0 || it.Probes.Probing;
+    if (other == i || unsuitable || answered <= newest)
       continue;
     newest = answered;
     out = other;
@@ -137,10 +137,10 @@
 /// without it and 110 with it).
 void Core::onAddressAnswered(BackendIndex i, Time now, Actions &actions) {
   Reachability &reach = Servers.at(i).Probes;
-  bool another =
+  bool mayBeNewOwner =
       isDistrusted(reach, now) &&
       now - reach.SeriesStartedAt >= Options.Probing.AddressReusedAfter;
-  if (!another)
+  if (!mayBeNewOwner)
     return recordSignOfLife(reach, now);
   reach.Failures = 0;
   resetWaitingRequestsAt(i, now, actions);
@@ -173,9 +173,9 @@
   markSuspect(i, now, actions);
   // If no server of the zone has answered yet, the usual response time of the
   // zone is unknown.
-  bool knownDistance = backend.Info.Zone == Options.Zone ||
-                       RoundTrips.contains(backend.Info.Zone);
-  if (reach.Failures != 0 && !knownDistance)
+  bool roundTripKnown = backend.Info.Zone == Options.Zone ||
+                        RoundTrips.contains(backend.Info.Zone);
+  if (reach.Failures != 0 && !roundTripKnown)
     return;
   if (reach.Failures != 0 && !linkWorked(i)) {
     if (!comparisonServerAnswered(i))
@@ -222,8 +222,8 @@
     return;
   Backend &backend = Servers.at(i);
   Reachability &reach = backend.Probes;
-  bool concerned = backend.Flows != 0 || backend.Info.Zone == Options.Zone;
-  if (!concerned || !mayProbe(reach, now))
+  bool isRelevant = backend.Flows != 0 || backend.Info.Zone == Options.Zone;
+  if (!isRelevant || !mayProbe(reach, now))
     return;
   reach.SeriesStartedAt = now;
   reach.Inconclusive = 0;
--- a/tests/BackendsTest.cpp
+++ b/tests/BackendsTest.cpp
@@ -20,25 +20,23 @@
 
 class BackendsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BackendsTest);
-  CPPUNIT_TEST(turnsGoneOnlyWhenTrusted);
-  CPPUNIT_TEST(takesBackWhoReturns);
-  CPPUNIT_TEST(forgetsTheGoneAfterALongestFlow);
-  CPPUNIT_TEST(seesSharedTokens);
-  CPPUNIT_TEST(endsTheFormerOwnerOfAnAddress);
-  CPPUNIT_TEST(endsNobodyWhoMovedAway);
-  CPPUNIT_TEST(knowsTheNewerAtAnAddressOverARestore);
-  CPPUNIT_TEST(followsTheLivesOfAServer);
-  CPPUNIT_TEST(keepsAServerWhoseRegistrationCannotBeRead);
+  CPPUNIT_TEST(marksGoneOnlyWhenTrusted);
+  CPPUNIT_TEST(acceptsAServerThatReturns);
+  CPPUNIT_TEST(removesGoneServersAfterTheMaximumFlowAge);
+  CPPUNIT_TEST(detectsSharedTokens);
+  CPPUNIT_TEST(marksTheEarlierOwnerOfAnAddressGone);
+  CPPUNIT_TEST(keepsAServerThatChangedItsAddress);
+  CPPUNIT_TEST(keepsTheNewerOwnerOfAnAddressAfterARestore);
+  CPPUNIT_TEST(detectsRestartsOfAServer);
+  CPPUNIT_TEST(keepsAServerWithAnUnreadableRegistration);
   CPPUNIT_TEST_SUITE_END();
 
-  // Symptom: a server that has started again gets nothing, since its former
-  // life had fallen silent; or its former life's registration, executed late,
-  // undoes the new one's.
-  // Sequence: any order of registrations of two lives, and of ones that do not
-  // say which life they are of.
-  // Cause: an id taken for a life.
-  void followsTheLivesOfAServer() {
-    property("the newest life decides, whatever comes late", [] {
+  // Guards against a restarted server that gets no flows because its earlier
+  // process had stopped answering, and against a late registration of the
+  // earlier process that overwrites the new one. Registrations of several
+  // processes of a server, some without a start time, arrive in any order.
+  void detectsRestartsOfAServer() {
+    property("the newest start time wins over late registrations", [] {
       Backends list({});
       int64_t newest = 0;
       for (int n = *rc::gen::inRange(1, 12); n > 0; --n) {
@@ -48,20 +46,21 @@
         bool draining =
             list.indexEnd() != 0 && list.at(0).State == BackendState::Draining;
         list.applyRegistration(info, Start);
-        auto reborn = list.takeRestarted();
+        auto restarted = list.takeRestarted();
         if (info.StartedAtMs != 0 && info.StartedAtMs < newest) {
-          RC_ASSERT(reborn.empty());
+          RC_ASSERT(restarted.empty());
           RC_ASSERT((list.at(0).State == BackendState::Draining) == draining);
           continue;
         }
-        RC_ASSERT(reborn.size() == (newest != 0 && info.StartedAtMs > newest));
+        RC_ASSERT(restarted.size() ==
+                  (newest != 0 && info.StartedAtMs > newest));
         newest = std::max(newest, info.StartedAtMs);
         RC_ASSERT(list.at(0).Info.StartedAtMs == newest);
         RC_ASSERT((list.at(0).State == BackendState::Draining) ==
                   info.Draining);
       }
     });
-    section("what was believed of the former life is over", [] {
+    section("observations of the earlier process are discarded", [] {
       Backends list({});
       Registration info = server(1);
       info.StartedAtMs = 1000;
@@ -76,7 +75,7 @@
       expectEqual<uint32_t>(0, list.at(0).Probes.Failures);
       expectTrue(list.at(0).Probes.Probing, "a probe is still under way");
     });
-    section("a crash behind a lapse that was short", [] {
+    section("a restart while the registration is missing", [] {
       Backends list({});
       Registration info = server(1);
       info.StartedAtMs = 1000;
@@ -88,58 +87,56 @@
     });
   }
 
-  // Symptom: a server that serves gets no new flows for ever, or its flows are
-  // reset.
-  // Sequence: someone else writes under its key; a second later it registers
-  // itself again.
-  // Cause: what can't be read taken for the end of its server, or ignored.
-  void keepsAServerWhoseRegistrationCannotBeRead() {
+  // Guards against a running server that gets no new flows for ever, or whose
+  // flows are reset, after another program has overwritten its key. The server
+  // registers itself again a second later.
+  void keepsAServerWithAnUnreadableRegistration() {
     Backends list({});
-    expectTrue(!list.markUnreadable(BackendId{1}), "it names nobody to use");
+    expectTrue(!list.markUnreadable(BackendId{1}), "the server is unknown");
     list.applyRegistration(server(1), Start);
-    expectTrue(list.markUnreadable(BackendId{1}), "its standing changes");
-    expectTrue(!list.at(0).acceptsNewFlows(), "nothing new");
+    expectTrue(list.markUnreadable(BackendId{1}), "the state changes");
+    expectTrue(!list.at(0).acceptsNewFlows(), "no new flows");
     expectTrue(list.expire(true, Start + 1h).empty(), "it has not ended");
     expectTrue(list.applyRegistration(server(1), Start + 1h),
-               "it says so itself");
-    expectTrue(list.at(0).acceptsNewFlows(), "again");
-    section("its key ends while it can't be read", [&] {
+               "it has registered again");
+    expectTrue(list.at(0).acceptsNewFlows(), "it accepts new flows again");
+    section("its key is deleted while it is unreadable", [&] {
       list.markUnreadable(BackendId{1});
       list.markMissing(BackendId{1}, Start + 1h);
       expectEqual<size_t>(1, list.expire(true, Start + 1h).size());
     });
   }
 
-  // Symptom: open flows to a healthy server are reset after an outage.
-  // Sequence: the registry is away, registrations lapse, it returns without
-  // them, servers register again a second later.
-  // Cause: a missing registration taken for the end of its server.
-  void turnsGoneOnlyWhenTrusted() {
+  // Guards against resets of open flows to healthy servers after an outage:
+  // while the registry is down registrations expire, it returns without them,
+  // and the servers register again a second later. A missing registration does
+  // not prove that its server has ended.
+  void marksGoneOnlyWhenTrusted() {
     Backends list({});
     list.applyRegistration(server(1), Start);
-    expectTrue(list.markMissing(BackendId{1}, Start), "its standing changes");
-    expectTrue(list.expire(false, Start).empty(), "not while in doubt");
+    expectTrue(list.markMissing(BackendId{1}, Start), "the state changes");
+    expectTrue(list.expire(false, Start).empty(),
+               "nothing while the registry is not trusted");
     expectTrue(list.at(0).State == BackendState::Missing, "it is missing");
     section("the registry can be trusted again", [&] {
       expectEqual<size_t>(1, list.expire(true, Start).size());
       expectTrue(list.at(0).State == BackendState::Gone, "it is gone");
-      expectTrue(list.expire(true, Start).empty(), "and told once");
+      expectTrue(list.expire(true, Start).empty(), "reported once");
       expectEqual<size_t>(0, list.size());
     });
   }
 
-  void takesBackWhoReturns() {
+  void acceptsAServerThatReturns() {
     Backends list({});
     list.applyRegistration(server(1), Start);
     list.markMissing(BackendId{1}, Start);
     list.expire(true, Start);
-    expectTrue(list.applyRegistration(server(1), Start),
-               "its standing changes");
-    expectTrue(list.at(0).acceptsNewFlows(), "it takes flows");
+    expectTrue(list.applyRegistration(server(1), Start), "the state changes");
+    expectTrue(list.at(0).acceptsNewFlows(), "it accepts new flows");
     expectEqual<size_t>(1, list.size());
   }
 
-  void forgetsTheGoneAfterALongestFlow() {
+  void removesGoneServersAfterTheMaximumFlowAge() {
     Backends list({.GoneRetention = 60s});
     list.applyRegistration(server(1), Start);
     list.markMissing(BackendId{1}, Start);
@@ -149,38 +146,38 @@
     expectEqual<size_t>(1, list.withToken(token).size());
     list.expire(true, Start + 61s);
     expectEqual<size_t>(0, list.withToken(token).size());
-    expectTrue(list.find(BackendId{1}) == NoBackend, "it is forgotten");
+    expectTrue(list.find(BackendId{1}) == NoBackend, "it was removed");
   }
 
-  // Symptom: for seconds, requests wait in flows of a server that has died, and
-  // probes of its address are answered.
-  // Sequence: it falls silent; two seconds later another service's server is
-  // started at its address; its own registration lapses only after that.
-  // Cause: an address taken for a server.
-  void endsTheFormerOwnerOfAnAddress() {
+  // Guards against requests that wait for seconds at a server that has crashed,
+  // while probes of its address are answered: two seconds after the crash a
+  // server of another service is started at that address, and the registration
+  // of the crashed server expires only later.
+  void marksTheEarlierOwnerOfAnAddressGone() {
     auto at = [](uint64_t id, uint64_t order) {
       Registration out = server(id);
       out.Where = {.Ip = 10, .Port = 80};
       out.Order.Revision = order;
       return out;
     };
-    property("whichever registration is read first", [&] {
-      Backends list({});
-      bool newerFirst = *rc::gen::arbitrary<bool>();
-      list.applyRegistration(newerFirst ? at(2, 9) : at(1, 5), Start);
-      list.applyRegistration(newerFirst ? at(1, 5) : at(2, 9), Start);
-      auto ended = list.expire(false, Start);
-      RC_ASSERT(ended.size() == 1U);
-      RC_ASSERT(list.at(ended[0]).Info.Id == BackendId{1});
-      RC_ASSERT(list.at(ended[0]).State == BackendState::Gone);
-      RC_ASSERT(list.size() == 1U);
-      list.applyRegistration(at(1, 5), Start);
-      RC_ASSERT(list.at(ended[0]).State == BackendState::Gone);
-      RC_ASSERT(list.expire(false, Start).empty());
-    });
+    property("the order in which the registrations are read does not matter",
+             [&] {
+               Backends list({});
+               bool newerFirst = *rc::gen::arbitrary<bool>();
+               list.applyRegistration(newerFirst ? at(2, 9) : at(1, 5), Start);
+               list.applyRegistration(newerFirst ? at(1, 5) : at(2, 9), Start);
+               auto ended = list.expire(false, Start);
+               RC_ASSERT(ended.size() == 1U);
+               RC_ASSERT(list.at(ended[0]).Info.Id == BackendId{1});
+               RC_ASSERT(list.at(ended[0]).State == BackendState::Gone);
+               RC_ASSERT(list.size() == 1U);
+               list.applyRegistration(at(1, 5), Start);
+               RC_ASSERT(list.at(ended[0]).State == BackendState::Gone);
+               RC_ASSERT(list.expire(false, Start).empty());
+             });
   }
 
-  void endsNobodyWhoMovedAway() {
+  void keepsAServerThatChangedItsAddress() {
     Backends list({});
     Registration moving = server(1);
     moving.Where = {.Ip = 10, .Port = 80};
@@ -192,13 +189,13 @@
     next.Where = {.Ip = 10, .Port = 80};
     next.Order.Revision = 9;
     list.applyRegistration(next, Start);
-    expectTrue(list.expire(false, Start).empty(), "nobody has ended");
+    expectTrue(list.expire(false, Start).empty(), "no server has ended");
     expectEqual<size_t>(2, list.size());
   }
 
-  // Guards against resetting the flows of a server that lives, since a restored
-  // registry shows its dead predecessor in a new generation.
-  void knowsTheNewerAtAnAddressOverARestore() {
+  // Guards against resets of the flows of a running server because a restored
+  // registry lists the earlier owner of its address in a new generation.
+  void keepsTheNewerOwnerOfAnAddressAfterARestore() {
     auto at = [](uint64_t id, RegistrationOrder order) {
       Registration out = server(id);
       out.Where = {.Ip = 10, .Port = 80};
@@ -211,24 +208,24 @@
     list.expire(false, Start);
     list.applyRegistration(at(1, {.Generation = 2, .Revision = 20}), Start);
     expectTrue(list.at(list.find(BackendId{2})).State == BackendState::Ready,
-               "the successor stays");
+               "the newer owner stays");
     expectTrue(list.at(list.find(BackendId{1})).State == BackendState::Gone,
-               "the predecessor does not come back");
-    section("a third one that registers after the restore is newer", [&] {
+               "the earlier owner does not come back");
+    section("a server that registers after the restore is newer", [&] {
       list.applyRegistration(at(3, {.Generation = 2, .Revision = 45}), Start);
       expectTrue(list.at(list.find(BackendId{2})).State == BackendState::Gone,
-                 "the second has ended");
+                 "the second server has ended");
     });
   }
 
-  void seesSharedTokens() {
+  void detectsSharedTokens() {
     Backends list({});
     constexpr uint64_t High = uint64_t{1} << 32;
     list.applyRegistration(server(5), Start);
-    expectTrue(!list.sharesToken(0), "alone");
+    expectTrue(!list.sharesToken(0), "no other server");
     list.applyRegistration(server(High | 4), Start);
     expectTrue(tokenOf(BackendId{High | 4}) == tokenOf(BackendId{5}),
-               "two ids, one token");
+               "two ids fold to one token");
     expectTrue(list.sharesToken(0) && list.sharesToken(1), "both share it");
   }
 };
--- a/tests/RouteTableTest.cpp
+++ b/tests/RouteTableTest.cpp
@@ -26,107 +26,106 @@
 
 class RouteTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RouteTableTest);
-  CPPUNIT_TEST(neverGoesBack);
-  CPPUNIT_TEST(letsTheFirstMatchDecide);
-  CPPUNIT_TEST(remembersServicesWhileFlowsMayLive);
-  CPPUNIT_TEST(tellsRemovedFromNeverThere);
-  CPPUNIT_TEST(learnsFromOthersWhatRoutesLedTo);
+  CPPUNIT_TEST(rejectsOlderVersions);
+  CPPUNIT_TEST(appliesTheFirstMatch);
+  CPPUNIT_TEST(keepsLostServicesForTheMaximumFlowAge);
+  CPPUNIT_TEST(distinguishesRemovedFromUnknownRoutes);
+  CPPUNIT_TEST(addsServicesRecordedByOtherInstances);
   CPPUNIT_TEST_SUITE_END();
 
-  // Symptom: a dropped route serves again.
-  // Sequence: version 7 arrives by one way, version 5 later by a slower one.
-  // Cause: the last to arrive would win over the newest.
-  void neverGoesBack() {
+  // Guards against a removed route that serves again because an older version
+  // arrives later from a slower source.
+  void rejectsOlderVersions() {
     RouteTable table(60s);
-    expectTrue(table.learn(routes(7, {}), Start), "7 is taken");
+    expectTrue(table.learn(routes(7, {}), Start), "version 7 is applied");
     expectTrue(!table.learn(routes(5, {{.Service = Records}}), Start),
-               "5 is refused");
+               "version 5 is rejected");
     expectTrue(!table.learn(routes(7, {{.Service = Records}}), Start),
-               "another 7 is refused");
-    expectTrue(table.find(FeedAddress) == nullptr, "the route stays away");
+               "a second version 7 is rejected");
+    expectTrue(table.find(FeedAddress) == nullptr, "the route stays removed");
   }
 
-  // Symptom: flows reach the service of a later rule.
-  // Sequence: a configuration names one address in two routes.
-  // Cause: each route written over the one before.
-  void letsTheFirstMatchDecide() {
+  // Guards against flows that reach the service of a later rule if two routes
+  // of a configuration have the same address.
+  void appliesTheFirstMatch() {
     RouteTable table(60s);
     RouteSet both = routes(1, {{.Service = Records}});
     both.Routes.push_back(
         {.Where = FeedAddress, .Services = {{.Service = Certificates}}});
     table.learn(both, Start);
     expectTrue(table.find(FeedAddress)->Services[0].Service == Records,
-               "the first");
+               "the first route applies");
     expectTrue(!table.mayReach(FeedAddress, Certificates, Start),
-               "the other gets nothing, whatever the token");
+               "the other service is never reachable");
     expectEqual<size_t>(1, table.size());
   }
 
-  void remembersServicesWhileFlowsMayLive() {
+  void keepsLostServicesForTheMaximumFlowAge() {
     RouteTable table(60s);
     table.learn(routes(1, {{.Service = Records}}), Start);
     section("the route moves to another service", [&] {
       table.learn(routes(2, {{.Service = Certificates}}), Start + 10s);
       expectTrue(table.mayReach(FeedAddress, Certificates, Start + 10s),
-                 "the new");
+                 "the new service");
       expectTrue(table.mayReach(FeedAddress, Records, Start + 60s),
-                 "the old one, for flows that are open");
+                 "the old service, for open flows");
       expectTrue(!table.mayReach(FeedAddress, Records, Start + 71s),
-                 "not once they must have ended");
+                 "not after the maximum flow age");
     });
   }
 
-  void tellsRemovedFromNeverThere() {
+  void distinguishesRemovedFromUnknownRoutes() {
     RouteTable table(60s);
     table.learn(routes(1, {{.Service = Records}}), Start);
     table.learn(routes(2, {}), Start);
-    expectTrue(table.wasRemoved(FeedAddress), "it stood here");
+    expectTrue(table.wasRemoved(FeedAddress), "the route was removed");
     expectTrue(!table.mayReach(FeedAddress, Records, Start),
-               "a removed route takes its flows with it");
+               "flows of a removed route end");
     Address other{.Ip = FeedAddress.Ip, .Port = 80};
-    expectTrue(!table.wasRemoved(other), "this one never did");
+    expectTrue(!table.wasRemoved(other), "there was never a route");
   }
 
-  // Symptom: the packets of old flows are dropped as `foreign_token` by an
-  // instance that has restarted.
-  // Sequence: the route moves from records to certificates; a process starts
-  // and reads the new version and the record of routes, in either order.
-  // Cause: the process had never read the version that led to records.
-  void learnsFromOthersWhatRoutesLedTo() {
+  // Guards against `foreign_token` drops of older flows at an instance that has
+  // restarted. It reads only the newest version, in which the route leads to
+  // another service, and the record of earlier services, in either order.
+  void addsServicesRecordedByOtherInstances() {
     const std::vector<RoutePair> led{{FeedAddress, Records}};
     section("the record before the routes", [&] {
       RouteTable table(60s);
       table.learnPast(led, Start);
       table.learn(routes(2, {{.Service = Certificates}}), Start);
-      expectTrue(table.mayReach(FeedAddress, Records, Start), "an old flow");
+      expectTrue(table.mayReach(FeedAddress, Records, Start),
+                 "an older flow is forwarded");
       expectTrue(!table.mayReach(FeedAddress, Records, Start + 61s),
-                 "not for ever");
+                 "not after the maximum flow age");
     });
     section("the routes before the record", [&] {
       RouteTable table(60s);
       table.learn(routes(2, {{.Service = Certificates}}), Start);
       expectTrue(!table.mayReach(FeedAddress, Records, Start), "not known yet");
       table.learnPast(led, Start + 1s);
-      expectTrue(table.mayReach(FeedAddress, Records, Start + 60s), "known");
-      section("the record once more does not lengthen the time", [&] {
+      expectTrue(table.mayReach(FeedAddress, Records, Start + 60s),
+                 "the service is reachable");
+      section("reading the record again does not extend the time", [&] {
         table.learnPast(led, Start + 50s);
-        expectTrue(!table.mayReach(FeedAddress, Records, Start + 62s), "over");
+        expectTrue(!table.mayReach(FeedAddress, Records, Start + 62s),
+                   "not reachable any more");
       });
     });
-    section("a route that is gone takes its flows with it all the same", [&] {
+    section("flows of a removed route end all the same", [&] {
       RouteTable table(60s);
       table.learnPast(led, Start);
       table.learn(routes(2, {}), Start);
-      expectTrue(!table.mayReach(FeedAddress, Records, Start), "not carried");
-      expectTrue(table.wasRemoved(FeedAddress), "and its caller can be told");
+      expectTrue(!table.mayReach(FeedAddress, Records, Start), "not forwarded");
+      expectTrue(table.wasRemoved(FeedAddress), "its flows can be reset");
     });
-    section("a service that the route leads to again is lost anew", [&] {
+    section("the time restarts if the route leads to the service again", [&] {
       RouteTable table(60s);
       table.learnPast(led, Start);
       table.learn(routes(2, {{.Service = Records}}), Start);
       table.learn(routes(3, {{.Service = Certificates}}), Start + 50s);
       expectTrue(table.mayReach(FeedAddress, Records, Start + 100s),
-                 "from the last time on");
+                 "reachable from the last loss on");
     });
   }
 };
--- a/tests/TokenCoreTest.cpp
+++ b/tests/TokenCoreTest.cpp
@@ -1,5 +1,5 @@
-// The token path's promises: never another service, never a guess, and resets
-// for nobody whose server may live.
+// The guarantees of the token path: packets never reach another service, no
+// server is guessed, and no flow is reset whose server may still be running.
 
 #include "chicorybank/token/Core.h"
 
@@ -14,147 +14,147 @@
 
 class TokenCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TokenCoreTest);
-  CPPUNIT_TEST(carriesAFlowAtAnyInstance);
+  CPPUNIT_TEST(forwardsAFlowAtAnyInstance);
   CPPUNIT_TEST(neverLetsATokenReachAnotherService);
-  CPPUNIT_TEST(holdsBackWhatItDoesNotKnow);
-  CPPUNIT_TEST(resetsAFlowWhoseServerHasLongEnded);
-  CPPUNIT_TEST(remembersOnlySoManyUnknownFlows);
-  CPPUNIT_TEST(dropsWhatTwoServersCouldOwn);
-  CPPUNIT_TEST(keepsCopiesOfAnOpeningTogether);
+  CPPUNIT_TEST(dropsPacketsWithUnknownTokens);
+  CPPUNIT_TEST(resetsAFlowWhoseServerEndedLongAgo);
+  CPPUNIT_TEST(limitsTheNumberOfUnknownFlows);
+  CPPUNIT_TEST(dropsPacketsWithAmbiguousTokens);
+  CPPUNIT_TEST(sendsAllCopiesOfAnOpeningToOneServer);
   CPPUNIT_TEST(movesOpeningsFromASilentServer);
-  CPPUNIT_TEST(takesAnOldAnswerForNoSignOfLife);
-  CPPUNIT_TEST(keepsAFlowWithTheFirstThatAnswered);
-  CPPUNIT_TEST(blamesNobodyForItsOwnPause);
-  CPPUNIT_TEST(believesTheTokenRatherThanItsMemory);
-  CPPUNIT_TEST(leavesADrainingServer);
-  CPPUNIT_TEST(keepsFlowsWhileRegistrationsAreInDoubt);
-  CPPUNIT_TEST(takesOldNewsForNoProof);
-  CPPUNIT_TEST(usesMissingServersAsTheLastResort);
-  CPPUNIT_TEST(spreadsOverServersThatLapsed);
-  CPPUNIT_TEST(servesWhatItKnowsBeforeItKnowsAll);
-  CPPUNIT_TEST(saysNothingOnRoutesItMayNotKnowYet);
-  CPPUNIT_TEST(takesARouteAwayWithItsFlows);
+  CPPUNIT_TEST(ignoresTheAcknowledgementOfAnOldAnswer);
+  CPPUNIT_TEST(keepsAFlowAtTheFirstServerThatAnswered);
+  CPPUNIT_TEST(suspectsNoServerAfterASuspension);
+  CPPUNIT_TEST(prefersTheTokenToItsRecord);
+  CPPUNIT_TEST(sendsNoNewFlowsToADrainingServer);
+  CPPUNIT_TEST(keepsFlowsWhileMissingRegistrationsMayReturn);
+  CPPUNIT_TEST(resetsNothingOnStaleUpdates);
+  CPPUNIT_TEST(usesMissingServersAsALastResort);
+  CPPUNIT_TEST(includesServersWithExpiredRegistrations);
+  CPPUNIT_TEST(forwardsBeforeAllRegistrationsAreKnown);
+  CPPUNIT_TEST(resetsNothingForRoutesItMayNotKnowYet);
+  CPPUNIT_TEST(resetsFlowsOfARemovedRoute);
   CPPUNIT_TEST(spreadsRequestsOverServers);
-  CPPUNIT_TEST(staysInItsZoneUntilThatIsBusier);
-  CPPUNIT_TEST(endsItsCountsWithTheFlows);
-  CPPUNIT_TEST(resetsFlowsOfAFormerLife);
-  CPPUNIT_TEST(believesNoClockThatCannotBeRight);
-  CPPUNIT_TEST(sendsNothingNewWhereARegistrationCannotBeRead);
+  CPPUNIT_TEST(prefersItsZoneUntilThatIsBusier);
+  CPPUNIT_TEST(countsNoLoadAfterAllFlowsHaveEnded);
+  CPPUNIT_TEST(resetsFlowsFromBeforeARestart);
+  CPPUNIT_TEST(ignoresImplausibleClocks);
+  CPPUNIT_TEST(sendsNoNewFlowsToAServerWithAnUnreadableRegistration);
   CPPUNIT_TEST_SUITE_END();
 
-  void carriesAFlowAtAnyInstance() {
+  void forwardsAFlowAtAnyInstance() {
     Instance opener;
     Instance other;
-    opener.learn({server(1), server(2), server(3)});
-    other.learn({server(1), server(2), server(3)});
+    opener.configure({server(1), server(2), server(3)});
+    other.configure({server(1), server(2), server(3)});
     Caller caller;
     uint64_t to = sentTo(opener.packet(caller.open()));
-    expectTrue(to != 0, "it is placed");
+    expectTrue(to != 0, "a server is chosen");
     caller.Echo = tokenOf(BackendId{to});
-    section("another instance gets the rest", [&] {
-      auto sent = only<Forward>(other.packet(caller.data(1)));
+    section("another instance gets the remaining packets", [&] {
+      auto sent = filter<Forward>(other.packet(caller.data(1)));
       expectEqual<size_t>(1, sent.size());
       expectEqual<uint64_t>(to, sent[0].To.Value);
-      expectTrue(sent[0].Echo == caller.Echo, "the token is written again");
+      expectTrue(sent[0].Echo == caller.Echo,
+                 "the token is written into the packet again");
     });
   }
 
   void neverLetsATokenReachAnotherService() {
-    property("a packet reaches a service of its route, whatever the token", [] {
-      Instance instance;
-      instance.learn({server(1), server(2), server(3, Certificates),
-                      server(4, Certificates)});
-      Caller caller;
-      caller.Route = *rc::gen::element(Feed, Papers);
-      caller.Echo = Token{*rc::gen::inRange<uint32_t>(0, 6)};
-      FlowPacket head = *rc::gen::element(caller.open(), caller.data(1),
-                                          caller.ack(), caller.ack(9));
-      std::set<uint64_t> allowed = caller.Route == Feed
-                                       ? std::set<uint64_t>{1, 2}
-                                       : std::set<uint64_t>{3, 4};
-      for (const Forward &it : only<Forward>(instance.packet(head)))
-        RC_ASSERT(allowed.contains(it.To.Value));
-    });
+    property(
+        "with any token, a packet reaches only a service of its route", [] {
+          Instance instance;
+          instance.configure({server(1), server(2), server(3, Certificates),
+                              server(4, Certificates)});
+          Caller caller;
+          caller.Route = *rc::gen::element(Feed, Papers);
+          caller.Echo = Token{*rc::gen::inRange<uint32_t>(0, 6)};
+          FlowPacket head = *rc::gen::element(caller.open(), caller.data(1),
+                                              caller.ack(), caller.ack(9));
+          std::set<uint64_t> allowed = caller.Route == Feed
+                                           ? std::set<uint64_t>{1, 2}
+                                           : std::set<uint64_t>{3, 4};
+          for (const Forward &it : filter<Forward>(instance.packet(head)))
+            RC_ASSERT(allowed.contains(it.To.Value));
+        });
   }
 
-  // Symptom: an open flow is reset or lands at a wrong server.
-  // Sequence: a server registers, a flow opens through an instance that knows
-  // it, the next packet comes to one that does not yet.
-  // Cause: an unknown token taken for an old one.
-  void holdsBackWhatItDoesNotKnow() {
+  // Guards against an open flow that is reset or reaches a wrong server: its
+  // server has just registered, and its next packet comes to an instance that
+  // does not know the server yet.
+  void dropsPacketsWithUnknownTokens() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     instance.pass(5s);
     Caller caller{.Echo = tokenOf(BackendId{9})};
     Actions actions = instance.packet(caller.data(1));
-    expectTrue(silent(actions), "nothing is sent, nothing is reset");
+    expectTrue(isIgnored(actions), "nothing is sent, nothing is reset");
     instance.pass(2s);
-    expectTrue(silent(instance.packet(caller.data(1))), "still nothing");
+    expectTrue(isIgnored(instance.packet(caller.data(1))),
+               "still nothing is sent");
     section("its registration arrives", [&] {
       instance.handle(BackendsLearned{.Present = {server(9)}});
       expectEqual<uint64_t>(9, sentTo(instance.packet(caller.data(1))));
     });
   }
 
-  void resetsAFlowWhoseServerHasLongEnded() {
+  void resetsAFlowWhoseServerEndedLongAgo() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     Caller caller{.Echo = tokenOf(BackendId{9})};
     instance.packet(caller.data(1));
-    section("while the news is not current nothing is certain", [&] {
+    section("no reset while updates are stale", [&] {
       instance.pass(6s, false);
-      expectTrue(silent(instance.packet(caller.data(1))), "no reset");
+      expectTrue(isIgnored(instance.packet(caller.data(1))), "no reset");
     });
     instance.pass(6s);
-    expectTrue(resetWhy(instance.packet(caller.data(1, 77))) ==
+    expectTrue(resetReason(instance.packet(caller.data(1, 77))) ==
                    Reason::BackendGone,
-               "after all that time no registration can be on its way");
+               "by now the registration would have arrived");
   }
 
-  // Symptom: an instance is killed for its memory.
-  // Sequence: somebody sends packets with made-up tokens from ever new ports.
-  // Cause: each such flow remembered for a minute.
-  void remembersOnlySoManyUnknownFlows() {
+  // Guards against running out of memory if somebody sends packets with forged
+  // tokens from ever new ports, and each such flow is tracked for a minute.
+  void limitsTheNumberOfUnknownFlows() {
     Instance instance({.Zone = "a", .MaxUnknownFlows = 50});
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     for (uint16_t port = 1; port <= 500; ++port)
       instance.packet(
           Caller{.Port = port, .Echo = tokenOf(BackendId{9})}.data(1));
     expectEqual<size_t>(50, instance.UnderTest.unknownFlows());
-    section("those that are remembered are reset in time all the same", [&] {
+    section("tracked flows are still reset in time", [&] {
       instance.pass(6s);
       Caller first{.Port = 1, .Echo = tokenOf(BackendId{9})};
-      expectTrue(resetWhy(instance.packet(first.data(1))) ==
+      expectTrue(resetReason(instance.packet(first.data(1))) ==
                      Reason::BackendGone,
-                 "reset");
+                 "a reset");
     });
   }
 
-  // Two servers whose ids fold to one token, in one service.
-  void dropsWhatTwoServersCouldOwn() {
+  // The ids of two servers of one service fold to the same token.
+  void dropsPacketsWithAmbiguousTokens() {
     constexpr uint64_t High = uint64_t{1} << 32;
     Instance instance;
-    instance.learn({server(5), server(High | 4), server(7)});
+    instance.configure({server(5), server(High | 4), server(7)});
     section("new flows avoid both", [&] {
       for (uint16_t port = 1; port < 50; ++port)
         expectEqual<uint64_t>(
             7, sentTo(instance.packet(Caller{.Port = port}.open())));
     });
-    section("a flow that is not remembered is not guessed at", [&] {
+    section("the server of an untracked flow is not guessed", [&] {
       Caller caller{.Echo = tokenOf(BackendId{5})};
-      expectTrue(silent(instance.packet(caller.data(1))), "dropped");
+      expectTrue(isIgnored(instance.packet(caller.data(1))), "dropped");
       auto ambiguous = static_cast<size_t>(Reason::AmbiguousToken);
       expectEqual<uint64_t>(1, instance.UnderTest.stats().Drops[ambiguous]);
     });
   }
 
-  // Symptom: a caller's flow is at one server and its token names another.
-  // Sequence: copies of an opening go to two servers, both answer.
-  // Cause: a copy placed anew although the first server answers others.
-  void keepsCopiesOfAnOpeningTogether() {
+  // Guards against a flow at one server whose token names another one: copies
+  // of an opening go to two servers, and both answer.
+  void sendsAllCopiesOfAnOpeningToOneServer() {
     property("all copies go to one server that is not silent", [] {
       Instance instance;
-      instance.learn({server(1), server(2), server(3)});
+      instance.configure({server(1), server(2), server(3)});
       Caller caller;
       caller.Port = *rc::gen::inRange<uint16_t>(1, 60000);
       uint64_t first = sentTo(instance.packet(caller.open()));
@@ -164,20 +164,19 @@
     });
   }
 
-  // Symptom: callers wait 200 ms for each opening that a dead server swallows.
-  // Sequence: a server falls silent; its registration lapses seconds later.
-  // Cause: nothing but the registry tells that it is dead.
+  // Guards against callers that wait 200 ms for each opening that is lost at a
+  // crashed server, until its registration expires seconds later.
   void movesOpeningsFromASilentServer() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     Caller one{.Port = 1};
     Caller two{.Port = 2};
     expectEqual<uint64_t>(1, sentTo(instance.packet(one.open())));
     expectEqual<uint64_t>(1, sentTo(instance.packet(two.open())));
     instance.handle(BackendsLearned{.Present = {server(2)}});
-    section("two openings without an answer make it suspect", [&] {
+    section("two unanswered openings make the server suspect", [&] {
       Actions actions = instance.pass(60ms);
-      auto sent = only<Forward>(actions);
+      auto sent = filter<Forward>(actions);
       expectEqual<size_t>(2, sent.size());
       for (const Forward &it : sent)
         expectEqual<uint64_t>(2, it.To.Value);
@@ -187,24 +186,24 @@
         expectEqual<uint64_t>(
             2, sentTo(instance.packet(Caller{.Port = port}.open())));
     });
-    section("an answer clears it", [&] {
+    section("an answer ends the suspicion", [&] {
       Caller old{.Port = 1, .Echo = tokenOf(BackendId{1})};
       instance.packet(old.data(1, 1));
       instance.packet(old.ack(500));
       std::set<uint64_t> used;
       for (uint16_t port = 100; port < 160; ++port)
         used.insert(sentTo(instance.packet(Caller{.Port = port}.open())));
-      expectTrue(used.contains(1), "it takes flows again");
+      expectTrue(used.contains(1), "it gets flows again");
     });
   }
 
-  // Symptom: a dead server takes new flows until its registration lapses.
-  // Sequence: it dies; a caller whose flow was idle sends its next request,
-  // which acknowledges the last part of an answer from before.
-  // Cause: an acknowledgement taken for an answer that has just come.
-  void takesAnOldAnswerForNoSignOfLife() {
+  // Guards against a crashed server that gets new flows until its registration
+  // expires: a caller whose flow was idle sends its next request, which
+  // acknowledges the last part of an earlier answer. This acknowledgement is no
+  // sign of life.
+  void ignoresTheAcknowledgementOfAnOldAnswer() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     Caller idle{.Port = 1, .Echo = tokenOf(BackendId{1})};
     instance.packet(idle.data(1, 1));
     instance.packet(idle.ack(500));
@@ -212,26 +211,25 @@
     instance.packet(Caller{.Port = 3}.open());
     instance.pass(60ms);
     expectTrue(instance.UnderTest.backends().at(0).isSuspect(instance.Now),
-               "two openings without an answer");
+               "two unanswered openings");
     instance.packet(idle.data(100, 700));
     expectTrue(instance.UnderTest.backends().at(0).isSuspect(instance.Now),
                "still suspect");
   }
 
-  // Symptom: a flow's packets reach a server that does not have it.
-  // Sequence: an opening is moved from a silent server to another; the silent
-  // one answers late; the caller has the flow with whoever came first, and the
-  // token of whoever came last.
-  // Cause: the token believed although the opening went to two servers.
-  void keepsAFlowWithTheFirstThatAnswered() {
-    property("whatever the order of the two answers", [] {
+  // Guards against packets that reach a server without their flow. An opening
+  // is moved from a silent server to another, and the silent one answers late.
+  // The caller has the flow with the server that answered first, and the token
+  // of the one that answered last.
+  void keepsAFlowAtTheFirstServerThatAnswered() {
+    property("the order of the two answers does not matter", [] {
       Instance instance;
-      instance.learn({server(1)});
+      instance.configure({server(1)});
       Caller caller;
       instance.packet(caller.open());
       instance.packet(Caller{.Port = 1}.open());
       instance.handle(BackendsLearned{.Present = {server(2)}});
-      RC_ASSERT(only<Forward>(instance.pass(60ms)).size() == 2);
+      RC_ASSERT(filter<Forward>(instance.pass(60ms)).size() == 2);
       auto first = *rc::gen::inRange<uint64_t>(1, 3);
       caller.Echo = tokenOf(BackendId{first});
       RC_ASSERT(sentTo(instance.packet(caller.ack())) == first);
@@ -245,27 +243,25 @@
     });
   }
 
-  // Symptom: after a pause of the process all servers are suspect.
-  // Sequence: openings are sent, the process stands still for seconds, the
-  // answers of callers wait in its socket.
-  // Cause: its own silence taken for theirs.
-  void blamesNobodyForItsOwnPause() {
+  // Guards against suspecting all servers after the process was suspended:
+  // openings were sent before, and the answers of callers wait in its socket.
+  void suspectsNoServerAfterASuspension() {
     Instance instance;
-    instance.learn({server(1), server(2)});
+    instance.configure({server(1), server(2)});
     instance.pass(1s);
     for (uint16_t port = 1; port < 9; ++port)
       instance.packet(Caller{.Port = port}.open());
     instance.Now += 4s;
     Actions actions = instance.handle(Tick{});
-    expectTrue(only<Forward>(actions).empty(), "nothing is sent again");
+    expectTrue(filter<Forward>(actions).empty(), "nothing is sent again");
     for (BackendIndex i = 0; i < 2; ++i)
       expectTrue(!instance.UnderTest.backends().at(i).isSuspect(instance.Now),
                  "no server is suspect");
   }
 
-  void believesTheTokenRatherThanItsMemory() {
+  void prefersTheTokenToItsRecord() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     Caller caller;
     instance.packet(caller.open());
     instance.handle(BackendsLearned{.Present = {server(2)}});
@@ -274,95 +270,95 @@
     expectEqual<uint32_t>(0, instance.UnderTest.backends().at(0).Flows);
   }
 
-  void leavesADrainingServer() {
+  void sendsNoNewFlowsToADrainingServer() {
     Instance instance;
-    instance.learn({server(1), server(2)});
+    instance.configure({server(1), server(2)});
     Registration leaving = server(1);
     leaving.Draining = true;
     instance.handle(BackendsLearned{.Present = {leaving}});
     for (uint16_t port = 1; port < 40; ++port)
       expectEqual<uint64_t>(
           2, sentTo(instance.packet(Caller{.Port = port}.open())));
-    section("and its flows go on", [&] {
+    section("its open flows continue", [&] {
       Caller caller{.Port = 99, .Echo = tokenOf(BackendId{1})};
       expectEqual<uint64_t>(1, sentTo(instance.packet(caller.data(1))));
     });
   }
 
-  // Symptom: open flows are reset after an outage of the registry.
-  // Sequence: no news for seconds; registrations lapse; the first news after
-  // it lacks them; the servers register again within two seconds.
-  // Cause: a lapsed registration taken for the end of its server.
-  void keepsFlowsWhileRegistrationsAreInDoubt() {
+  // Guards against resets of open flows after an outage of the registry: no
+  // updates for seconds, registrations expire, the first updates afterwards
+  // lack them, and the servers register again within two seconds.
+  void keepsFlowsWhileMissingRegistrationsMayReturn() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     instance.pass(5s);
     Caller caller{.Echo = tokenOf(BackendId{1})};
     expectEqual<uint64_t>(1, sentTo(instance.packet(caller.data(1))));
     instance.pass(4s, false);
     instance.handle(BackendsLearned{.Ended = {BackendId{1}}});
-    section("before and after the news is shown to be current", [&] {
-      expectTrue(only<ResetFlow>(instance.pass(300ms, false)).empty(), "none");
-      expectTrue(only<ResetFlow>(instance.pass(2s)).empty(), "no reset yet");
+    section("before and after the updates are confirmed as current", [&] {
+      expectTrue(filter<ResetFlow>(instance.pass(300ms, false)).empty(),
+                 "none");
+      expectTrue(filter<ResetFlow>(instance.pass(2s)).empty(), "no reset yet");
       expectEqual<uint64_t>(1, sentTo(instance.packet(caller.data(2))));
     });
-    section("still missing after that", [&] {
+    section("still missing after the grace time", [&] {
       Actions actions = instance.pass(1s);
-      expectTrue(resetWhy(actions) == Reason::BackendGone,
-                 "the open flow is told at once");
+      expectTrue(resetReason(actions) == Reason::BackendGone,
+                 "the open flow is reset at once");
     });
   }
 
-  // Symptom: a flow to a server that came back is reset.
-  // Sequence: the registry returns, the server's registration is missing; this
-  // instance hears nothing for a while; meanwhile the server registers.
-  // Cause: the grace time measured by this clock, not by the news's.
-  void takesOldNewsForNoProof() {
+  // Guards against the reset of a flow whose server came back: the registry
+  // returns without the server's registration, this instance gets no updates
+  // for a while, and the server registers meanwhile. The grace time counts by
+  // the time of the updates, not by this instance's clock.
+  void resetsNothingOnStaleUpdates() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     instance.pass(5s);
     instance.pass(4s, false);
     instance.handle(BackendsLearned{.Ended = {BackendId{1}}});
     instance.handle(FreshnessUpdated{.CurrentAt = instance.Now});
     Caller caller{.Echo = tokenOf(BackendId{1})};
     instance.packet(caller.data(1));
-    expectTrue(only<ResetFlow>(instance.pass(10s, false)).empty(),
-               "no news, no reset");
+    expectTrue(filter<ResetFlow>(instance.pass(10s, false)).empty(),
+               "no reset without updates");
   }
 
-  // Symptom: new flows are reset although every server lives.
-  // Sequence: the registry returns from an outage with all registrations
-  // lapsed; servers register again one by one.
-  // Cause: a missing registration taken for "takes nothing".
-  void usesMissingServersAsTheLastResort() {
+  // Guards against resets of new flows although every server is running: the
+  // registry returns from an outage with all registrations expired, and servers
+  // register again one by one.
+  void usesMissingServersAsALastResort() {
     Instance instance;
-    instance.learn({server(1), server(2)});
+    instance.configure({server(1), server(2)});
     instance.pass(5s);
     instance.pass(4s, false);
     instance.handle(BackendsLearned{.Ended = {BackendId{1}, BackendId{2}}});
     instance.handle(FreshnessUpdated{.CurrentAt = instance.Now});
     expectTrue(sentTo(instance.packet(Caller{.Port = 7}.open())) != 0,
                "a missing server is tried");
-    section("where the registry shows that one has ended, not before another",
+    section("once the registry shows that a server has ended, it is used last",
             [] {
-              Instance calm;
-              calm.learn({server(1), server(2)});
-              calm.pass(5s);
-              calm.handle(BackendsLearned{.Ended = {BackendId{1}}});
+              Instance steady;
+              steady.configure({server(1), server(2)});
+              steady.pass(5s);
+              steady.handle(BackendsLearned{.Ended = {BackendId{1}}});
               for (uint16_t port = 20; port < 40; ++port)
                 expectEqual<uint64_t>(
-                    2, sentTo(calm.packet(Caller{.Port = port}.open())));
+                    2, sentTo(steady.packet(Caller{.Port = port}.open())));
             });
   }
 
-  // Symptom: servers shed requests in the second after the registry is back.
-  // Sequence: all registrations lapse in an outage; one server in ten is back.
-  // Cause: whoever is back costs less than the others, in the eyes of all
-  // instances at once.
-  // Pattern: 1,500 requests a second through 86 instances, 150 servers.
-  // Grounds: with shares alike, each server has what it always has; a tenth of
-  // the servers must not get more than a fifth.
-  void spreadsOverServersThatLapsed() {
+  // Guards against servers that shed requests in the second after the registry
+  // returns: all registrations have expired, and one server in ten is back. If
+  // returned servers cost less than missing ones, all instances choose them at
+  // once.
+  //
+  // Load: 1,500 requests a second through 86 instances, 150 servers. With equal
+  // costs each server gets its usual share; a tenth of the servers must not get
+  // more than a fifth of the flows.
+  void includesServersWithExpiredRegistrations() {
     Instance instance;
     std::vector<Registration> all;
     std::vector<BackendId> ids;
@@ -370,7 +366,7 @@
       all.push_back(server(id));
       ids.push_back(BackendId{id});
     }
-    instance.learn(all);
+    instance.configure(all);
     instance.pass(5s);
     instance.pass(4s, false);
     instance.handle(BackendsLearned{.Ended = ids});
@@ -381,7 +377,7 @@
     for (uint16_t port = 1; port <= Flows; ++port) {
       Caller caller{.Port = port};
       atReturned += sentTo(instance.packet(caller.open())) <= 4 ? 1 : 0;
-      // Answered at once, as by servers that live.
+      // Answered at once, as by running servers.
       FlowPacket last = caller.ack();
       last.Finish = true;
       instance.packet(last);
@@ -390,82 +386,84 @@
                "a fifth at most: " + shown(atReturned));
   }
 
-  // Symptom: nobody is served for two seconds after all instances were killed.
-  // Sequence: 300 of them read 3,000 registrations each, all at once.
-  // Cause: no packet carried before the last registration is known.
-  void servesWhatItKnowsBeforeItKnowsAll() {
+  // Guards against two seconds without service after a restart of all
+  // instances: 300 of them read 3,000 registrations each at the same time.
+  // Packets are forwarded before the last registration is known.
+  void forwardsBeforeAllRegistrationsAreKnown() {
     Instance instance;
-    expectTrue(!instance.UnderTest.canForward(), "nothing is known");
+    expectTrue(!instance.UnderTest.canForward(), "nothing is known yet");
     instance.handle(RoutesLearned{bothRoutes(1)});
     instance.handle(BackendsLearned{.Present = {server(1)}});
     expectTrue(instance.UnderTest.canForward() && !instance.UnderTest.isReady(),
-               "a part is known");
+               "some routes and servers are known");
     expectEqual<uint64_t>(1, sentTo(instance.packet(Caller{}.open())));
-    section("what it does not know yet is not refused", [&] {
+    section("unknown services and tokens are not reset yet", [&] {
       Caller other{.Port = 2, .Route = Papers};
-      expectTrue(silent(instance.packet(other.open())), "no server yet");
+      expectTrue(isIgnored(instance.packet(other.open())), "no server yet");
       Caller unknown{.Port = 3, .Echo = tokenOf(BackendId{9})};
-      expectTrue(silent(instance.packet(unknown.data(1))), "unknown token");
-    });
-    section("when all is known, a service without servers is refused", [&] {
-      instance.handle(BackendsComplete{});
-      instance.handle(FreshnessUpdated{.CurrentAt = instance.Now});
-      Caller other{.Port = 4, .Route = Papers};
-      expectTrue(resetWhy(instance.packet(other.open())) == Reason::NoTarget,
-                 "reset");
+      expectTrue(isIgnored(instance.packet(unknown.data(1))), "unknown token");
     });
+    section("once all is known, flows of a service without servers are reset",
+            [&] {
+              instance.handle(BackendsComplete{});
+              instance.handle(FreshnessUpdated{.CurrentAt = instance.Now});
+              Caller other{.Port = 4, .Route = Papers};
+              expectTrue(resetReason(instance.packet(other.open())) ==
+                             Reason::NoTarget,
+                         "a reset");
+            });
   }
 
-  void saysNothingOnRoutesItMayNotKnowYet() {
+  void resetsNothingForRoutesItMayNotKnowYet() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     Caller caller{.Route = {.Ip = 1, .Port = 1}};
-    expectTrue(resetWhy(instance.packet(caller.open())) == Reason::NoMatch,
-               "with current news it is certain");
+    expectTrue(resetReason(instance.packet(caller.open())) == Reason::NoMatch,
+               "with current updates the route does not exist");
     instance.pass(4s, false);
     Caller later{.Port = 2, .Route = caller.Route};
-    expectTrue(silent(instance.packet(later.open())),
-               "with old news the route may exist by now");
+    expectTrue(isIgnored(instance.packet(later.open())),
+               "with stale updates the route may exist by now");
     caller.Echo = tokenOf(BackendId{1});
-    expectTrue(silent(instance.packet(caller.data(1))),
+    expectTrue(isIgnored(instance.packet(caller.data(1))),
                "an open flow of an unknown route is never reset");
   }
 
-  void takesARouteAwayWithItsFlows() {
+  void resetsFlowsOfARemovedRoute() {
     Instance instance;
-    instance.learn({server(1)});
+    instance.configure({server(1)});
     Caller caller{.Echo = tokenOf(BackendId{1})};
     instance.packet(caller.data(1));
     RouteSet fewer = bothRoutes(2);
     fewer.Routes.erase(fewer.Routes.begin());
     instance.handle(RoutesLearned{fewer});
-    expectTrue(resetWhy(instance.packet(caller.data(2))) ==
+    expectTrue(resetReason(instance.packet(caller.data(2))) ==
                    Reason::RouteRemoved,
-               "its flows end");
-    expectTrue(resetWhy(instance.packet(Caller{.Port = 9}.open())) ==
+               "open flows are reset");
+    expectTrue(resetReason(instance.packet(Caller{.Port = 9}.open())) ==
                    Reason::RouteRemoved,
-               "and none opens");
+               "new flows are reset");
   }
 
-  // The load: short flows, one request each, as many in progress as there are
-  // servers. Even a slightly uneven choice would queue at one of them.
+  // Short flows with one request each, as many in progress as there are
+  // servers. Even a slightly uneven choice would queue requests at one of them.
   void spreadsRequestsOverServers() {
     Instance instance;
     std::vector<Registration> servers;
     for (uint64_t id = 1; id <= 14; ++id)
       servers.push_back(server(id));
-    instance.learn(servers);
+    instance.configure(servers);
     std::set<uint64_t> used;
     for (uint16_t port = 1; port <= 14; ++port)
       used.insert(sentTo(instance.packet(Caller{.Port = port}.open())));
     expectEqual<size_t>(14, used.size());
   }
 
-  void staysInItsZoneUntilThatIsBusier() {
+  void prefersItsZoneUntilThatIsBusier() {
     Instance instance;
     Registration far = server(2);
     far.Zone = "b";
-    instance.learn({server(1), far});
+    instance.configure({server(1), far});
     std::vector<uint64_t> order;
     for (uint16_t port = 1; port <= 4; ++port)
       order.push_back(sentTo(instance.packet(Caller{.Port = port}.open())));
@@ -475,10 +473,10 @@
                "a busy zone spills over");
   }
 
-  void endsItsCountsWithTheFlows() {
-    property("after all flows have ended no load is left", [] {
+  void countsNoLoadAfterAllFlowsHaveEnded() {
+    property("no load is left after all flows have ended", [] {
       Instance instance;
-      instance.learn({server(1), server(2)});
+      instance.configure({server(1), server(2)});
       std::vector<Caller> callers;
       for (uint16_t port = 1; port <= 6; ++port)
         callers.push_back({.Port = port});
@@ -520,51 +518,50 @@
     });
   }
 
-  /// The same server, started at this Unix millisecond.
-  static Registration bornAt(int64_t born) {
+  /// Server 1, started at this Unix millisecond.
+  static Registration startedAt(int64_t started) {
     Registration out = server(1);
-    out.StartedAtMs = born;
+    out.StartedAtMs = started;
     return out;
   }
 
-  // Symptom: requests wait for retransmissions, or for their deadlines, at a
-  // server that knows nothing of them.
-  // Sequence: a server crashes behind a cut and starts again under its id; its
-  // registration never lapses.
-  // Cause: the new life taken for the old one.
-  void resetsFlowsOfAFormerLife() {
+  // Guards against requests that wait for retransmissions or deadlines at a
+  // server that does not know them: the server crashes behind a network cut and
+  // restarts under its id, so its registration never expires.
+  void resetsFlowsFromBeforeARestart() {
     Instance instance;
-    instance.learn({bornAt(1'000'000)});
-    Caller former{.Port = 1, .Echo = tokenOf(BackendId{1})};
-    instance.packet(former.data(1));
+    instance.configure({startedAt(1'000'000)});
+    Caller earlier{.Port = 1, .Echo = tokenOf(BackendId{1})};
+    instance.packet(earlier.data(1));
     instance.pass(20s);
     Caller since{.Port = 2, .Echo = tokenOf(BackendId{1})};
     instance.packet(since.data(1));
     instance.pass(1s);
     expectEqual<uint32_t>(1, instance.UnderTest.backends().at(0).InProgress);
-    // It started two seconds before this was read.
-    Actions actions = instance.handle(
-        BackendsLearned{.Present = {bornAt(2'000'000)}, .ReadAt = 2'002'000});
-    auto resets = only<ResetFlow>(actions);
+    // The server started two seconds before this was read.
+    Actions actions = instance.handle(BackendsLearned{
+        .Present = {startedAt(2'000'000)}, .ReadAt = 2'002'000});
+    auto resets = filter<ResetFlow>(actions);
     expectEqual<size_t>(1, resets.size());
     expectEqual<uint16_t>(1, resets[0].Flow.Source.Port);
-    expectTrue(resets[0].Why == Reason::BackendRestarted, "for its reason");
+    expectTrue(resets[0].Why == Reason::BackendRestarted,
+               "with the reason of the restart");
     expectEqual<uint64_t>(1, sentTo(instance.packet(since.data(2))));
   }
 
-  // Symptom: flows that were opened a moment ago are reset.
-  // Sequence: a clock jumps; a registration of a new life seems to come from
-  // the future, or to be much younger than it is.
-  // Cause: ages worked out from two clocks.
-  void believesNoClockThatCannotBeRight() {
+  // Guards against resets of flows that were just opened if a clock jumps: a
+  // registration seems to come from the future, or to be much younger than it
+  // is, since ages are computed from two clocks.
+  void ignoresImplausibleClocks() {
     Caller caller{.Port = 1, .Echo = tokenOf(BackendId{1})};
-    auto resetsAfter = [&](Duration open, int64_t born, int64_t readAt) {
+    auto resetsAfter = [&](Duration open, int64_t started, int64_t readAt) {
       Instance instance;
-      instance.learn({bornAt(1'000'000)});
+      instance.configure({startedAt(1'000'000)});
       instance.packet(caller.data(1));
       instance.pass(open);
-      return only<ResetFlow>(instance.handle(BackendsLearned{
-                                 .Present = {bornAt(born)}, .ReadAt = readAt}))
+      return filter<ResetFlow>(
+                 instance.handle(BackendsLearned{
+                     .Present = {startedAt(started)}, .ReadAt = readAt}))
           .size();
     };
     expectEqual<size_t>(1, resetsAfter(20s, 2'000'000, 2'000'000));
@@ -574,13 +571,13 @@
     expectEqual<size_t>(0, resetsAfter(20s, 900'000, 2'000'000));
   }
 
-  void sendsNothingNewWhereARegistrationCannotBeRead() {
+  void sendsNoNewFlowsToAServerWithAnUnreadableRegistration() {
     Instance instance;
-    instance.learn({server(1), server(2)});
+    instance.configure({server(1), server(2)});
     Caller open{.Port = 1, .Echo = tokenOf(BackendId{1})};
     instance.packet(open.data(1));
     instance.handle(BackendsLearned{.Unreadable = {BackendId{1}}});
-    expectTrue(only<ResetFlow>(instance.pass(10s)).empty(), "no reset");
+    expectTrue(filter<ResetFlow>(instance.pass(10s)).empty(), "no reset");
     expectEqual<uint64_t>(1, sentTo(instance.packet(open.data(2))));
     for (uint16_t port = 10; port < 30; ++port)
       expectEqual<uint64_t>(
--- a/tests/TokenSamples.h
+++ b/tests/TokenSamples.h
@@ -1,4 +1,4 @@
-// Short names for what tests of the token path need.
+// Fixtures for tests of the token path.
 
 #ifndef CHICORYBANK_TESTS_TOKENSAMPLES_H
 #define CHICORYBANK_TESTS_TOKENSAMPLES_H
@@ -35,7 +35,7 @@
   return out;
 }
 
-/// One caller's flow, and the packets that it sends.
+/// A flow of a caller, and the packets that the caller sends.
 struct Caller {
   uint16_t Port = 1000;
   Address Route = Feed;
@@ -66,7 +66,7 @@
   }
 };
 
-/// A core with its clock.
+/// A core with a simulated clock.
 struct Instance {
   explicit Instance(CoreOptions options = {.Zone = "a"})
       : UnderTest(std::move(options)) {}
@@ -76,12 +76,12 @@
     UnderTest.handle(event, Now, out);
     return out;
   }
-  /// The packet's bytes are those of its sequence, so that tests know them
-  /// again.
+  /// Handles a packet with fixed bytes.
   Actions packet(const FlowPacket &head) {
     return handle(PacketReceived{.Head = head, .Raw = Raw});
   }
-  /// Moves on in ticks, with the news current all the time.
+  /// Advances the clock in ticks; with `current`, the updates are confirmed as
+  /// current at each tick.
   Actions pass(Duration time, bool current = true) {
     Actions out;
     for (Time end = Now + time; Now < end;) {
@@ -92,8 +92,8 @@
     }
     return out;
   }
-  /// Everything that it needs to serve.
-  void learn(std::vector<Registration> servers, uint64_t version = 1) {
+  /// Provides everything that the core needs to be ready.
+  void configure(std::vector<Registration> servers, uint64_t version = 1) {
     handle(RoutesLearned{bothRoutes(version)});
     handle(BackendsLearned{.Present = std::move(servers)});
     handle(BackendsComplete{});
@@ -105,7 +105,8 @@
   std::array<std::byte, 32> Raw{};
 };
 
-template <typename T> std::vector<T> only(const Actions &actions) {
+/// Returns the actions of one type.
+template <typename T> std::vector<T> filter(const Actions &actions) {
   std::vector<T> out;
   for (const Action &it : actions)
     if (const T *one = std::get_if<T>(&it))
@@ -113,21 +114,21 @@
   return out;
 }
 
-/// Where a packet went; zero for nowhere.
+/// Returns the server that the packet was sent to, or zero.
 inline uint64_t sentTo(const Actions &actions) {
-  auto sent = only<Forward>(actions);
+  auto sent = filter<Forward>(actions);
   return sent.size() == 1 ? sent[0].To.Value : 0;
 }
 
-/// Why a flow was reset; None where it was not.
-inline Reason resetWhy(const Actions &actions) {
-  auto resets = only<ResetFlow>(actions);
+/// Returns the reason of the reset, or `None` without one.
+inline Reason resetReason(const Actions &actions) {
+  auto resets = filter<ResetFlow>(actions);
   return resets.size() == 1 ? resets[0].Why : Reason::None;
 }
 
-/// Nothing was sent and nothing was reset.
-inline bool silent(const Actions &actions) {
-  return only<Forward>(actions).empty() && only<ResetFlow>(actions).empty();
+/// Returns true if nothing was sent and nothing was reset.
+inline bool isIgnored(const Actions &actions) {
+  return filter<Forward>(actions).empty() && filter<ResetFlow>(actions).empty();
 }
 
 } // namespace samples::token
--- a/tests/ZonesTest.cpp
+++ b/tests/ZonesTest.cpp
@@ -1,4 +1,4 @@
-// Zones that fall silent as a whole, and zones whose servers are busy.
+// Zones that stop answering as a whole, and zones whose servers are busy.
 
 #include "chicorybank/token/Zones.h"
 
@@ -16,20 +16,21 @@
   return out;
 }
 
-/// Twenty servers in zone b and as many in zone c; those of zone a are drained.
+/// An instance of zone a with no server there, twenty servers in zone b and
+/// twenty in zone c.
 Instance withoutServersHere() {
   Instance out;
   std::vector<Registration> servers;
   for (uint64_t id = 1; id <= 40; ++id)
     servers.push_back(serverIn(id <= 20 ? "b" : "c", id));
-  out.learn(servers);
+  out.configure(servers);
   return out;
 }
 
 bool inZoneB(uint64_t id) { return id != 0 && id <= 20; }
 
-/// A caller opens a flow, which servers of zone b don't answer. Returns true
-/// where it went there.
+/// Opens a flow; servers of zone b don't answer. Returns true if it went to
+/// zone b.
 bool opensInSilentZoneB(Instance &instance, uint16_t port) {
   Caller caller{.Port = port};
   uint64_t to = sentTo(instance.packet(caller.open()));
@@ -44,87 +45,87 @@
 
 class ZonesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ZonesTest);
-  CPPUNIT_TEST(leavesAZoneThatIsCutOff);
-  CPPUNIT_TEST(movesTheOpeningsThatWaitThere);
-  CPPUNIT_TEST(staysWhereAnyServerAnswers);
-  CPPUNIT_TEST(neverDoubtsItsOwnZone);
-  CPPUNIT_TEST(leavesAZoneThatIsBusy);
-  CPPUNIT_TEST(estimatesForAllInstancesOfTheZone);
+  CPPUNIT_TEST(avoidsAZoneThatIsCutOff);
+  CPPUNIT_TEST(movesOpeningsOutOfASuspectZone);
+  CPPUNIT_TEST(keepsAZoneInWhichAnyServerAnswers);
+  CPPUNIT_TEST(neverSuspectsItsOwnZone);
+  CPPUNIT_TEST(spillsOverFromABusyZone);
+  CPPUNIT_TEST(estimatesTheLoadOfAllInstancesOfTheZone);
   CPPUNIT_TEST_SUITE_END();
 
-  // Symptom: for seconds after a zone is cut off, callers of another zone wait
-  // for their copies of openings.
-  // Sequence: the servers of their own zone are drained, so that half of the
-  // openings go into the zone that is cut off.
-  // Cause: each of its servers had to be found silent by itself.
-  // Pattern: 28 instances with 18 openings a second each, 40 servers in each
-  // zone. Grounds: an instance loses as many openings as it takes to see,
-  // three, in place of two for each server.
-  void leavesAZoneThatIsCutOff() {
+  // Guards against callers that wait for their retransmitted openings for
+  // seconds after another zone is cut off, while the servers of their own zone
+  // are drained: half of the openings go to the zone that is cut off, and each
+  // of its servers would have to be detected by itself.
+  //
+  // Load: 28 instances with 18 openings a second each, 40 servers in each zone.
+  // An instance may lose as many openings as the detection takes, three,
+  // instead of two for each server.
+  void avoidsAZoneThatIsCutOff() {
     Instance instance = withoutServersHere();
     size_t lost = 0;
     for (uint16_t port = 1; port <= 60; ++port) {
       lost += opensInSilentZoneB(instance, port) ? 1 : 0;
       instance.pass(10ms);
     }
-    expectTrue(lost <= 10, "few are lost: " + shown(lost));
+    expectTrue(lost <= 10, "few openings are lost: " + shown(lost));
   }
 
-  void movesTheOpeningsThatWaitThere() {
+  void movesOpeningsOutOfASuspectZone() {
     Instance instance = withoutServersHere();
     size_t waiting = 0;
     for (uint16_t port = 1; port <= 20; ++port)
       waiting += opensInSilentZoneB(instance, port) ? 1 : 0;
-    expectTrue(waiting >= 4, "some went there: " + shown(waiting));
+    expectTrue(waiting >= 4, "some openings wait in zone b: " + shown(waiting));
     size_t moved = 0;
-    for (const Forward &it : only<Forward>(instance.pass(60ms)))
+    for (const Forward &it : filter<Forward>(instance.pass(60ms)))
       moved += inZoneB(it.To.Value) ? 0 : 1;
     expectEqual(waiting, moved);
   }
 
-  void staysWhereAnyServerAnswers() {
+  void keepsAZoneInWhichAnyServerAnswers() {
     Zones zones("a", {});
     Backend one{.Info = serverIn("b", 1)};
     Backend two{.Info = serverIn("b", 2)};
     for (int n = 0; n < 20; ++n) {
-      expectTrue(!zones.recordMiss(one, Start), "one alone");
-      expectTrue(!zones.recordMiss(two, Start), "two");
+      expectTrue(!zones.recordMiss(one, Start), "one miss");
+      expectTrue(!zones.recordMiss(two, Start), "two misses");
       zones.recordAnswer("b");
     }
-    section("one server that leaves all unanswered is no zone", [&] {
+    section("misses of a single server do not make the zone suspect", [&] {
       for (int n = 0; n < 20; ++n)
-        expectTrue(!zones.recordMiss(one, Start), "the same one");
+        expectTrue(!zones.recordMiss(one, Start), "the same server");
     });
-    section("a row is", [&] {
+    section("misses of different servers do", [&] {
       zones.recordMiss(two, Start);
-      expectTrue(zones.recordMiss(one, Start), "three in a row");
-      expectTrue(zones.isSuspect("b", Start), "suspect");
-      expectTrue(!zones.isSuspect("b", Start + 1s), "for a while");
+      expectTrue(zones.recordMiss(one, Start), "three consecutive misses");
+      expectTrue(zones.isSuspect("b", Start), "the zone is suspect");
+      expectTrue(!zones.isSuspect("b", Start + 1s), "only for a while");
     });
-    section("until one answers", [&] {
+    section("until a server answers", [&] {
       zones.recordAnswer("b");
       expectTrue(!zones.isSuspect("b", Start), "at once");
     });
   }
 
-  void neverDoubtsItsOwnZone() {
+  void neverSuspectsItsOwnZone() {
     Zones zones("a", {});
     for (uint64_t id = 1; id < 20; ++id)
       expectTrue(!zones.recordMiss(Backend{.Info = serverIn("a", id)}, Start),
-                 "its own");
+                 "the own zone");
   }
 
-  // Symptom: servers of one zone shed requests while those of the others idle.
-  // Sequence: half of a zone's callers move to another one, then come 1.8 times
-  // as many requests.
-  // Cause: each of 28 instances has at most a request or two at any of 40
-  // servers, so that none looks busier than a server of another zone.
-  void leavesAZoneThatIsBusy() {
+  // Guards against servers of one zone that shed requests while those of other
+  // zones are idle: half of a zone's callers move to another zone, and then the
+  // load rises to 1.8 times. Each of 28 instances has at most one or two
+  // requests at any of 40 servers, so no server looks busier than a server of
+  // another zone.
+  void spillsOverFromABusyZone() {
     Instance instance({.Zone = "b", .Self = InstanceId{1}, .Seed = 3});
     std::vector<Registration> servers;
     for (uint64_t id = 1; id <= 40; ++id)
       servers.push_back(serverIn(id <= 20 ? "b" : "c", id));
-    instance.learn(servers);
+    instance.configure(servers);
     std::vector<ZonedInstance> peers;
     for (uint32_t id = 1; id <= 20; ++id)
       peers.push_back({.Id = InstanceId{id}, .Zone = "b"});
@@ -147,13 +148,13 @@
       }
       return out;
     };
-    // 20 instances with one request each, before 40 slots: a half.
+    // 20 instances with one request each, for 40 slots: half a request a slot.
     expectEqual<size_t>(0, elsewhere(1, 1));
-    // With five each: two and a half for each slot.
-    expectTrue(elsewhere(4, 5000) >= 35, "about half leave");
+    // With five requests each: two and a half requests a slot.
+    expectTrue(elsewhere(4, 5000) >= 35, "about half spill over");
   }
 
-  void estimatesForAllInstancesOfTheZone() {
+  void estimatesTheLoadOfAllInstancesOfTheZone() {
     Zones alone("a", {});
     expectEqual(0.0, alone.spillShare(Records));
     alone.recordLoad(Records, 4, 80, Start + 1h);
@@ -165,15 +166,15 @@
     zones.setInstances(peers);
     zones.recordLoad(Records, 8, 80, Start);
     expectEqual(1.0, zones.spillShare(Records));
-    section("of the service alone",
+    section("only for this service",
             [&] { expectEqual(0.0, zones.spillShare(Certificates)); });
-    section("over several requests of each caller", [&] {
+    section("the load is smoothed over several requests of each caller", [&] {
       zones.recordLoad(Records, 0, 80, Start + 10ms);
       expectEqual(1.0, zones.spillShare(Records));
       zones.recordLoad(Records, 0, 80, Start + 3s);
       expectEqual(0.0, zones.spillShare(Records));
     });
-    section("all leave where nothing takes new flows", [&] {
+    section("all spill over if no server here accepts new flows", [&] {
       zones.recordLoad(Records, 0, 0, Start + 4s);
       expectEqual(1.0, zones.spillShare(Records));
     });
