--- a/include/chicorybank/token/Backends.h
+++ b/include/chicorybank/token/Backends.h
@@ -123,9 +123,10 @@
   /// as gone at once. Probes can't detect this, since the new owner answers
   /// them.
   ///
-  /// A registration that started earlier than the known one arrived late and
-  /// changes nothing. If it started later, the server has restarted: all
-  /// observations of it are discarded, and `takeRestarted` returns it.
+  /// A registration of a process that started before the known one arrived late
+  /// and changes nothing. If the process started later, the server has
+  /// restarted: all observations of it are discarded, and `takeRestarted`
+  /// returns it.
   bool applyRegistration(const Registration &info, Time now);
   /// Marks a server as missing because its registration has ended. Returns true
   /// if the state changed.
--- a/lib/token/BackendSelection.cpp
+++ b/lib/token/BackendSelection.cpp
@@ -14,6 +14,7 @@
 // server that has just started is slow for some seconds. It needs no extra
 // cost, since its requests in progress already show that (on two sites an extra
 // cost changed the score by 0.001 or less).
+
 // A flow to another zone breaks if the zones are cut off from each other, and
 // until then it costs a millisecond and bandwidth. So another zone is chosen
 // only if every server of the own zone has two requests more.
--- a/lib/token/Reachability.cpp
+++ b/lib/token/Reachability.cpp
@@ -21,14 +21,15 @@
 
 } // namespace
 
-/// Returns true if no probe of the server is under way or has just ended.
+/// Returns true if no probe of the server is under way and none has ended
+/// within `MinInterval`.
 bool Core::mayProbe(const Reachability &reach, Time now) const {
   Time endedAt = std::max(reach.AnsweredAt, reach.FailedAt);
   return !reach.Probing && now - endedAt >= Options.Probing.MinInterval;
 }
 
-/// Probes a server that has not answered something yet, which alone proves
-/// nothing.
+/// Probes a server because something sent to it has no answer yet. The missing
+/// answer alone proves nothing.
 void Core::probeIfDue(BackendIndex i, Time now, Actions &actions) {
   if (Options.Enabled.Probes && mayProbe(Servers.at(i).Probes, now))
     startProbe(i, now, actions);
@@ -126,15 +127,15 @@
 /// server's address. Long after the server was found unreachable, this may be
 /// the next owner of the address.
 ///
-/// Without this, if a quarter of a service's servers crash, other servers
-/// listen at their addresses two seconds later, while the updates about them
-/// are late. Each answered probe looks like a false alarm, so no server is
+/// Without this distinction: if a quarter of a service's servers crash, other
+/// servers listen at their addresses two seconds later, while the updates about
+/// them are late. Each answered probe looks like a false alarm, so no server is
 /// declared unreachable any more, and callers wait until the registrations
 /// expire. The symptoms are `backend_unreachable` events that stop two seconds
 /// after they began, and answers that take more than a second. On a day on
-/// which 30 of 120 servers end like this, it raises the score by 0.005 (three
-/// runs each; of 2,242 requests in the two seconds after that, 136 were late
-/// without it and 110 with it).
+/// which 30 of 120 servers end like this, the distinction raises the score by
+/// 0.005 (three runs each; of 2,242 requests in the two seconds after that, 136
+/// were late without it and 110 with it).
 void Core::onAddressAnswered(BackendIndex i, Time now, Actions &actions) {
   Reachability &reach = Servers.at(i).Probes;
   bool mayBeNewOwner =
@@ -235,11 +236,11 @@
 /// link works for the probes under way. Only the first such answer counts for
 /// each probe.
 ///
-/// If the last one counted: an instance has flows at a dozen servers that crash
-/// together, and probes the same server for comparison with each of them. The
-/// answer to a later probe hides the answer that came in time, and half of all
-/// series end without a result. The symptom is callers who wait a second or two
-/// longer.
+/// If the last answer counted, an instance with flows at a dozen servers that
+/// crash together would probe the same server for comparison with each of them,
+/// and the answer to a later probe would hide the answer that came in time.
+/// Half of all series would end without a result; the symptom is callers who
+/// wait a second or two longer.
 void Core::recordLinkAnswer(BackendIndex answered, Time now) {
   for (BackendIndex i = 0; i < Servers.indexEnd(); ++i) {
     Reachability &reach = Servers.at(i).Probes;
