--- a/lib/edge/PeerUpdates.cpp
+++ b/lib/edge/PeerUpdates.cpp
@@ -1,4 +1,4 @@
-// What a news reader makes of other instances' pushes and pages.
+// How a registry watcher applies the pushes and pages of other instances.
 
 #include "chicorybank/edge/RegistryWatcher.h"
 
@@ -9,12 +9,13 @@
 
 namespace {
 
-// News that an instance has from others may be of any age; it is told as this
-// old. All that it has to be is older than any limit.
-constexpr Duration OldestAge = std::chrono::hours(1);
+// The maximum age that a push carries. Updates from peers may be of any age;
+// the cap only has to be above every limit on the age.
+constexpr Duration MaxPushAge = std::chrono::hours(1);
 
-// A copy that differs from others' for so many paces has missed a change.
-constexpr int DiffersForPaces = 2;
+// A copy that differs from others' for this many poll intervals has missed a
+// change.
+constexpr int MaxDiffersIntervals = 2;
 
 } // namespace
 
@@ -50,10 +51,10 @@
   return false;
 }
 
-/// Another copy at this position is the same as this one, or differs. One that
-/// was listed while things changed holds some changes behind its position, and
-/// has caught up by the next push; were that taken for a missed change, lists
-/// would lead to further lists while servers register by the hundred.
+/// Compares this copy with another one at the same position. A copy that was
+/// listed during changes has some changes beyond its position, and differs
+/// until the next push. Taking that for a missed change would lead from each
+/// list to further lists while hundreds of servers register.
 void RegistryWatcher::trackDifference(bool differs, Time now) {
   if (!differs) {
     DiffersSince.reset();
@@ -61,33 +62,35 @@
   }
   if (!DiffersSince)
     DiffersSince = now;
-  if (now - *DiffersSince < DiffersForPaces * Times.PollInterval || Waiting ||
-      State != Phase::Watching || now - LastList < Times.RelistMin)
+  if (now - *DiffersSince < MaxDiffersIntervals * Times.PollInterval ||
+      Waiting || State != Phase::Watching || now - LastList < Times.RelistMin)
     return;
   DiffersSince.reset();
   startList(std::max(DueAt, now));
 }
 
-/// The push lacks changes that this copy lacks as well.
+/// Returns whether both the push and this copy lack changes before the push's
+/// position, so that they have to be pulled.
 bool RegistryWatcher::mustPull(const UpdatePush &push) const {
   return push.Page.At > Cache.position() &&
          (!push.Complete || push.Base > Cache.position());
 }
 
-/// Everything can be read from the sender. Where all instances start at once,
-/// each list is megabytes on the registry's link and a call for each of its
-/// pages; one sees that link full for half a minute, and `registry_calls` with
-/// as many lists as there are pages.
+/// Returns whether a full copy from the sender can replace the first list. When
+/// all instances start at once, each list takes megabytes on the registry's
+/// link and a call for each page. Without this, that link is saturated for half
+/// a minute, and `registry_calls` has as many lists as there are pages.
 bool RegistryWatcher::replacesFirstList(const UpdatePush &push) const {
   return firstListIsPending() && push.Age < Times.StaleAfter &&
          push.Page.At.Generation == LatestGeneration;
 }
 
-/// A list is due since this copy may have missed a change, and the push is by
-/// someone who has asked the registry since and has the same copy: there was
-/// none. Otherwise hundreds would list at once when the registry is back from
-/// an outage; one sees `registry_calls` with lists of each instance, and the
-/// registry's link full.
+/// Returns whether a push makes a due list unnecessary. The list is due because
+/// this copy may have missed a change, but the push is from an instance that
+/// has read the registry since and has the same copy, so there was no change.
+/// Without this, hundreds of instances list at once when the registry is back
+/// after an outage: `registry_calls` has lists of every instance, and the
+/// registry's link is saturated.
 bool RegistryWatcher::confirmsCache(const UpdatePush &push) const {
   bool due = State == Phase::Listing && Complete && !Waiting && After.empty();
   return due && push.Age < Times.StaleAfter && generationIsCurrent() &&
@@ -99,7 +102,7 @@
   ++Stats.Pulls;
   Stats.WholePulls += whole ? 1 : 0;
   std::optional<PendingPull> pull = std::exchange(Pull, std::nullopt);
-  // A list that has begun meanwhile goes on.
+  // A list that has started in the meantime continues.
   if (!Complete && !firstListIsPending())
     return;
   if (whole) {
@@ -129,7 +132,7 @@
 UpdatePush RegistryWatcher::makePush(InstanceId self, Position since,
                                      Time now) const {
   UpdatePush out{.Sender = self,
-                 .Age = std::min(now - CurrentAt, OldestAge),
+                 .Age = std::min(now - CurrentAt, MaxPushAge),
                  .Base = since,
                  .Digest = Cache.digest()};
   if (auto page = Cache.changesSince(since))
--- a/tests/RulesTest.cpp
+++ b/tests/RulesTest.cpp
@@ -8,13 +8,13 @@
 
 class RulesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RulesTest);
-  CPPUNIT_TEST(versionsOnlyRise);
-  CPPUNIT_TEST(remembersWhereFlowsMayHaveGone);
-  CPPUNIT_TEST(remembersTargetsThatAreGone);
-  CPPUNIT_TEST(forgetsWhatIsTooOld);
+  CPPUNIT_TEST(appliesOnlyNewerVersions);
+  CPPUNIT_TEST(listsEveryServiceOfAFlow);
+  CPPUNIT_TEST(keepsRemovedTargets);
+  CPPUNIT_TEST(dropsVersionsBeyondItsDepth);
   CPPUNIT_TEST_SUITE_END();
 
-  void versionsOnlyRise() {
+  void appliesOnlyNewerVersions() {
     RuleHistory history(4);
     expectTrue(history.learn(samples::compiled(samples::ruleSet(2))), "first");
     expectTrue(!history.learn(samples::compiled(samples::ruleSet(2))), "same");
@@ -23,7 +23,7 @@
     expectEqual<uint64_t>(2, history.version().Value);
   }
 
-  void remembersWhereFlowsMayHaveGone() {
+  void listsEveryServiceOfAFlow() {
     RuleHistory history(4);
     RuleSet first = samples::ruleSet(1);
     RuleSet second = samples::ruleSet(2);
@@ -37,7 +37,7 @@
     expectTrue(services[1] == first.Services[0].Id, "then the one before");
   }
 
-  void remembersTargetsThatAreGone() {
+  void keepsRemovedTargets() {
     RuleHistory history(4);
     history.learn(samples::compiled(samples::ruleSet(1)));
     RuleSet fewer = samples::ruleSet(2);
@@ -46,12 +46,12 @@
     history.learn(samples::compiled(fewer));
     expectEqual<size_t>(15, history.targetsOf(id).size());
     expectTrue(history.serviceOfTarget(samples::target(14)) == id,
-               "the service of a target that is gone");
+               "the service of a removed target");
     expectTrue(history.serviceOfTarget(samples::target(99)) == ServiceId{},
-               "none for a stranger");
+               "none for an unknown target");
   }
 
-  void forgetsWhatIsTooOld() {
+  void dropsVersionsBeyondItsDepth() {
     RuleHistory history(3);
     RuleSet first = samples::ruleSet(1);
     first.Services[0].Targets.push_back({.Id = samples::target(40)});
@@ -59,7 +59,7 @@
     for (uint64_t version = 2; version <= 3; ++version)
       history.learn(samples::compiled(samples::ruleSet(version)));
     expectTrue(history.serviceOfTarget(samples::target(40)) != ServiceId{},
-               "three versions are remembered");
+               "three versions are kept");
     history.learn(samples::compiled(samples::ruleSet(4)));
     expectTrue(history.serviceOfTarget(samples::target(40)) == ServiceId{},
                "the fourth is not");
