--- a/bench/CoreBench.cpp
+++ b/bench/CoreBench.cpp
@@ -269,7 +269,7 @@
 
 void measureControl() {
   // Length, code and frame head come on top of the message itself.
-  constexpr double Framing = 4 + MessageCodeBytes + 9;
+  constexpr double Framing = 4 + MessageMacBytes + 9;
   PeerKey key("a key for measurements");
   for (uint32_t group : {7U, 14U, 28U}) {
     std::string suffix = "_" + std::to_string(group);
@@ -280,14 +280,14 @@
            nanoseconds(2000,
                        [&](size_t) {
                          QByteArray out = encodeControl(heartbeat(group));
-                         if (key.code(out).isEmpty())
+                         if (key.mac(out).isEmpty())
                            std::abort();
                        }),
            "ns");
     report("heartbeat_receive_ns" + suffix,
            nanoseconds(2000,
                        [&](size_t) {
-                         if (key.code(bytes).isEmpty() || !decodeControl(bytes))
+                         if (key.mac(bytes).isEmpty() || !decodeControl(bytes))
                            std::abort();
                        }),
            "ns");
--- a/include/chicorybank/peer/Messages.h
+++ b/include/chicorybank/peer/Messages.h
@@ -21,7 +21,7 @@
 struct RuleRequest {
   InstanceInfo Sender;
   /// Pages that the sender has already.
-  std::vector<PageId> Have;
+  std::vector<PageId> KnownPages;
 
   bool operator==(const RuleRequest &) const = default;
 };
@@ -50,7 +50,7 @@
   /// Sent in the clear in each datagram; a stray sender can't guess it.
   uint64_t datagramToken() const { return Token; }
   /// The code of a control message: HMAC-SHA256, cut to 16 bytes.
-  QByteArray code(const QByteArray &message) const;
+  QByteArray mac(const QByteArray &message) const;
 
 private:
   QByteArray Secret;
@@ -58,7 +58,7 @@
 };
 
 /// How long a message's code is.
-inline constexpr qsizetype MessageCodeBytes = 16;
+inline constexpr qsizetype MessageMacBytes = 16;
 
 /// The bytes of a control message, without length and code.
 QByteArray encodeControl(const ControlMessage &message);
--- a/include/chicorybank/peer/Transport.h
+++ b/include/chicorybank/peer/Transport.h
@@ -63,8 +63,8 @@
   void stop();
 
 private:
-  class Loop;
-  std::unique_ptr<Loop> Impl;
+  class EventLoop;
+  std::unique_ptr<EventLoop> Impl;
 };
 
 } // namespace chicory
--- a/lib/daemon/RuleStore.cpp
+++ b/lib/daemon/RuleStore.cpp
@@ -59,8 +59,8 @@
   std::lock_guard lock(Lock);
   RuleDocument out{.Manifest = Manifest};
   for (const auto &[id, bytes] : Pages) {
-    bool known = std::find(request.Have.begin(), request.Have.end(), id) !=
-                 request.Have.end();
+    bool known = std::find(request.KnownPages.begin(), request.KnownPages.end(),
+                           id) != request.KnownPages.end();
     if (!known)
       out.Pages[id] = bytes;
   }
@@ -71,7 +71,7 @@
   RuleRequest out{.Sender = self};
   std::lock_guard lock(Lock);
   for (const auto &[id, bytes] : Pages)
-    out.Have.push_back(id);
+    out.KnownPages.push_back(id);
   return out;
 }
 
--- a/lib/peer/Http2.cpp
+++ b/lib/peer/Http2.cpp
@@ -30,13 +30,13 @@
 QByteArray frameMessage(const QByteArray &body, const PeerKey &key) {
   QByteArray out(LengthBytes, '\0');
   qToBigEndian(static_cast<quint32>(body.size()), out.data());
-  return out + key.code(body) + body;
+  return out + key.mac(body) + body;
 }
 
 tl::expected<void, Reason>
 MessageReader::feed(const char *data, size_t size,
                     const std::function<void(ControlMessage)> &handle) {
-  constexpr qsizetype HeadBytes = LengthBytes + MessageCodeBytes;
+  constexpr qsizetype HeadBytes = LengthBytes + MessageMacBytes;
   Pending.append(data, static_cast<qsizetype>(size));
   while (Pending.size() >= HeadBytes) {
     auto length = qFromBigEndian<quint32>(Pending.constData());
@@ -44,10 +44,10 @@
       return tl::make_unexpected(Reason::BadPeerMessage);
     if (Pending.size() < HeadBytes + static_cast<qsizetype>(length))
       break;
-    QByteArray code = Pending.mid(LengthBytes, MessageCodeBytes);
+    QByteArray mac = Pending.mid(LengthBytes, MessageMacBytes);
     QByteArray body = Pending.mid(HeadBytes, length);
     Pending.remove(0, HeadBytes + length);
-    if (code != Key.code(body))
+    if (mac != Key.mac(body))
       return tl::make_unexpected(Reason::BadPeerKey);
     tl::expected<ControlMessage, Reason> message = decodeControl(body);
     if (!message)
@@ -143,7 +143,7 @@
   return !Unsent.isEmpty() || nghttp2_session_want_write(Session) != 0;
 }
 
-bool Http2Connection::readable() {
+bool Http2Connection::readFromSocket() {
   std::array<uint8_t, ReadChunk> buf;
   ssize_t n = ::recv(Socket.get(), buf.data(), buf.size(), 0);
   if (n < 0)
@@ -154,7 +154,7 @@
                                   static_cast<size_t>(n)) == n;
 }
 
-bool Http2Connection::writable(uint64_t &bytesSent) {
+bool Http2Connection::writeToSocket(uint64_t &bytesSent) {
   for (;;) {
     if (Unsent.isEmpty()) {
       const uint8_t *data = nullptr;
--- a/lib/peer/Http2.h
+++ b/lib/peer/Http2.h
@@ -54,12 +54,12 @@
   /// Queues bytes for the client's stream.
   void write(const QByteArray &bytes);
   /// How many bytes wait to be sent.
-  size_t waiting() const { return Outgoing.size() + Unsent.size(); }
+  size_t unsentBytes() const { return Outgoing.size() + Unsent.size(); }
   bool wantsWrite() const;
   /// Reads what the socket has. Returns false where the connection is over.
-  bool readable();
+  bool readFromSocket();
   /// Writes what the socket takes. Returns false where it is over.
-  bool writable(uint64_t &bytesSent);
+  bool writeToSocket(uint64_t &bytesSent);
 
 private:
   Http2Connection(FileDescriptor socket,
--- a/lib/peer/Messages.cpp
+++ b/lib/peer/Messages.cpp
@@ -146,13 +146,13 @@
 
 QCborArray encode(const RuleRequest &message) {
   return {ProtocolVersion, static_cast<qint64>(ControlType::RuleRequest),
-          encodeInfo(message.Sender), encodeIds(message.Have)};
+          encodeInfo(message.Sender), encodeIds(message.KnownPages)};
 }
 
 RuleRequest readRuleRequest(CborReader &reader) {
   RuleRequest out;
   out.Sender = readInfo(reader, reader.list());
-  out.Have = readPageIds(reader);
+  out.KnownPages = readPageIds(reader);
   return out;
 }
 
@@ -274,14 +274,14 @@
 } // namespace
 
 PeerKey::PeerKey(const QByteArray &secret) : Secret(secret) {
-  QByteArray bytes = code("datagram token");
+  QByteArray bytes = mac("datagram token");
   Token = hashBytes({bytes.constData(), static_cast<size_t>(bytes.size())});
 }
 
-QByteArray PeerKey::code(const QByteArray &message) const {
+QByteArray PeerKey::mac(const QByteArray &message) const {
   return QMessageAuthenticationCode::hash(message, Secret,
                                           QCryptographicHash::Sha256)
-      .left(MessageCodeBytes);
+      .left(MessageMacBytes);
 }
 
 QByteArray encodeControl(const ControlMessage &message) {
--- a/lib/peer/Transport.cpp
+++ b/lib/peer/Transport.cpp
@@ -44,9 +44,9 @@
 } // namespace
 
 /// The thread with its sockets.
-class Transport::Loop {
+class Transport::EventLoop {
 public:
-  Loop(TransportOptions options, TransportCallbacks callbacks)
+  EventLoop(TransportOptions options, TransportCallbacks callbacks)
       : Options(std::move(options)), Callbacks(std::move(callbacks)),
         Key(Options.Secret), SendRing(SendRingSize) {}
 
@@ -84,7 +84,7 @@
   std::thread Worker;
 };
 
-tl::expected<void, std::string> Transport::Loop::start() {
+tl::expected<void, std::string> Transport::EventLoop::start() {
   auto listener = listenTcp(Options.Listen);
   if (!listener)
     return tl::make_unexpected(listener.error());
@@ -94,8 +94,8 @@
   return {};
 }
 
-void Transport::Loop::send(const InstanceInfo &to,
-                           const ControlMessage &message) {
+void Transport::EventLoop::send(const InstanceInfo &to,
+                                const ControlMessage &message) {
   QByteArray bytes = frameMessage(encodeControl(message), Key);
   if (!SendRing.try_enqueue({.To = to, .Bytes = std::move(bytes)})) {
     Callbacks.Fault(Reason::RingFull);
@@ -105,18 +105,18 @@
   [[maybe_unused]] ssize_t n = ::write(Wake.get(), &one, sizeof(one));
 }
 
-void Transport::Loop::stop() {
+void Transport::EventLoop::stop() {
   Stopping = true;
   if (Worker.joinable())
     Worker.join();
 }
 
-void Transport::Loop::run() {
+void Transport::EventLoop::run() {
   while (!Stopping)
     pollOnce();
 }
 
-void Transport::Loop::takeSendRing() {
+void Transport::EventLoop::takeSendRing() {
   uint64_t drained = 0;
   [[maybe_unused]] ssize_t n = ::read(Wake.get(), &drained, sizeof(drained));
   OutgoingMessage message;
@@ -127,7 +127,7 @@
       // A peer that comes back wants to know how things stand now; what was
       // said while it was away is out of date.
       link.Waiting = message.Bytes;
-    } else if (link.Connection->waiting() > Options.MaxQueuedBytes) {
+    } else if (link.Connection->unsentBytes() > Options.MaxQueuedBytes) {
       Callbacks.Fault(Reason::PeerUnreachable);
     } else {
       link.Connection->write(message.Bytes);
@@ -135,7 +135,7 @@
   }
 }
 
-void Transport::Loop::connect(InstanceId id, PeerLink &link) {
+void Transport::EventLoop::connect(InstanceId id, PeerLink &link) {
   auto socket = connectTcp(Options.Listen.Ip, link.To);
   if (!socket)
     return lost(id, link, errno == ECONNREFUSED);
@@ -144,7 +144,7 @@
   link.Connecting = true;
 }
 
-void Transport::Loop::finishConnect(InstanceId id, PeerLink &link) {
+void Transport::EventLoop::finishConnect(InstanceId id, PeerLink &link) {
   int error = 0;
   socklen_t size = sizeof(error);
   ::getsockopt(link.Connection->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
@@ -155,7 +155,7 @@
   link.Connection->write(std::exchange(link.Waiting, {}));
 }
 
-void Transport::Loop::lost(InstanceId id, PeerLink &link, bool refused) {
+void Transport::EventLoop::lost(InstanceId id, PeerLink &link, bool refused) {
   auto now = std::chrono::steady_clock::now();
   // One that breaks right after it came up would be tried in a tight loop.
   bool wasUp = link.Connection != nullptr && !link.Connecting &&
@@ -170,7 +170,7 @@
     Callbacks.Refused(id);
 }
 
-void Transport::Loop::acceptAll() {
+void Transport::EventLoop::acceptAll() {
   for (;;) {
     FileDescriptor socket(::accept4(Listener.get(), nullptr, nullptr,
                                     SOCK_NONBLOCK | SOCK_CLOEXEC));
@@ -188,7 +188,7 @@
   }
 }
 
-void Transport::Loop::pollOnce() {
+void Transport::EventLoop::pollOnce() {
   takeSendRing();
   auto now = std::chrono::steady_clock::now();
   std::vector<pollfd> fds = {{.fd = Wake.get(), .events = POLLIN},
@@ -219,7 +219,7 @@
   serveServers(ready);
 }
 
-void Transport::Loop::serveLinks(const std::map<int, short> &ready) {
+void Transport::EventLoop::serveLinks(const std::map<int, short> &ready) {
   for (auto &[id, link] : Links) {
     if (link.Connection == nullptr)
       continue;
@@ -231,30 +231,31 @@
       continue;
     uint64_t sent = 0;
     bool ok = ((events & (POLLIN | POLLHUP | POLLERR)) == 0 ||
-               link.Connection->readable()) &&
-              link.Connection->writable(sent);
+               link.Connection->readFromSocket()) &&
+              link.Connection->writeToSocket(sent);
     BytesSent += sent;
     if (!ok)
       lost(id, link, false);
   }
 }
 
-void Transport::Loop::serveServers(const std::map<int, short> &ready) {
+void Transport::EventLoop::serveServers(const std::map<int, short> &ready) {
   for (ServerEnd &end : Servers) {
     auto it = ready.find(end.Connection->fd());
     if (it == ready.end() || it->second == 0)
       continue;
     uint64_t sent = 0;
     bool readable = (it->second & (POLLIN | POLLHUP | POLLERR)) != 0;
-    end.Dead = (readable && !end.Connection->readable()) ||
-               !end.Connection->writable(sent);
+    end.Dead = (readable && !end.Connection->readFromSocket()) ||
+               !end.Connection->writeToSocket(sent);
     BytesSent += sent;
   }
   Servers.remove_if([](const ServerEnd &it) { return it.Dead; });
 }
 
 Transport::Transport(TransportOptions options, TransportCallbacks callbacks)
-    : Impl(std::make_unique<Loop>(std::move(options), std::move(callbacks))) {}
+    : Impl(std::make_unique<EventLoop>(std::move(options),
+                                       std::move(callbacks))) {}
 
 Transport::~Transport() { stop(); }
 
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -4,7 +4,7 @@
 #include "chicorybank/edge/Edge.h"
 
 #include "chicorybank/base/Socket.h"
-#include "platform/PacketHead.h"
+#include "platform/PacketFraming.h"
 
 #include "RegistrySamples.h"
 #include "Story.h"
@@ -193,7 +193,7 @@
     });
     EdgeSettings settings = settingsFor(registry);
     platform::StoreDialect dialect;
-    platform::PacketHead framing(settings.Packets.Port);
+    platform::PacketFraming framing(settings.Packets.Port);
     bool ended = false;
     std::thread edge([&] {
       ended =
@@ -280,7 +280,7 @@
       settings = settingsFor(gone);
     }
     settings.Peers.Port = static_cast<uint16_t>(port);
-    platform::PacketHead framing(settings.Packets.Port);
+    platform::PacketFraming framing(settings.Packets.Port);
     bool ended = false;
     std::thread edge([&] {
       ended =
@@ -315,7 +315,7 @@
     Socket peerSocket;
     settings.Packets = peerSocket.address();
     platform::StoreDialect dialect;
-    platform::PacketHead framing(1);
+    platform::PacketFraming framing(1);
     auto done = chicory::edge::runEdge(settings, "", dialect, framing);
     expectTrue(!done && done.error().find("bind") != std::string::npos,
                "the address is taken");
--- a/tests/MessagesTest.cpp
+++ b/tests/MessagesTest.cpp
@@ -61,7 +61,8 @@
     bare.Sender = {.Id = InstanceId{3}};
     std::vector<ControlMessage> messages = {
         heartbeat(), bare,
-        RuleRequest{.Sender = info(), .Have = {PageId{UINT64_MAX}}}, document};
+        RuleRequest{.Sender = info(), .KnownPages = {PageId{UINT64_MAX}}},
+        document};
     for (const ControlMessage &it : messages) {
       auto read = decodeControl(encodeControl(it));
       expectTrue(read.has_value() && *read == it, "an equal message");
--- a/tests/PacketHeadTest.cpp
+++ b/tests/PacketFramingTest.cpp
@@ -1,6 +1,6 @@
 // The platform's packets, against the bytes that its pages publish.
 
-#include "platform/PacketHead.h"
+#include "platform/PacketFraming.h"
 
 #include "Story.h"
 
@@ -10,7 +10,7 @@
 using namespace chicory;
 using namespace chicory::token;
 using chicory::edge::Framing;
-using chicory::platform::PacketHead;
+using chicory::platform::PacketFraming;
 
 namespace {
 
@@ -43,8 +43,8 @@
 
 } // namespace
 
-class PacketHeadTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PacketHeadTest);
+class PacketFramingTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PacketFramingTest);
   CPPUNIT_TEST(readsThePublishedOpening);
   CPPUNIT_TEST(writesThePublishedReset);
   CPPUNIT_TEST(changesNothingButTheToken);
@@ -52,23 +52,24 @@
   CPPUNIT_TEST_SUITE_END();
 
   void readsThePublishedOpening() {
-    auto head = PacketHead(8172).read(bytesOf(PublishedOpening));
+    auto head = PacketFraming(8172).read(bytesOf(PublishedOpening));
     expectTrue(head.has_value(), "it is a packet");
     expectTrue(head->key() == Flow, "its flow");
     expectTrue(head->Open && !head->Finish && !head->Reset, "its flags");
     expectEqual<uint32_t>(0x11223344, head->Sequence);
     expectEqual<int>(0, head->OpenCopy);
-    expectTrue(PacketHead(8172).callerAddress(Flow) ==
+    expectTrue(PacketFraming(8172).callerAddress(Flow) ==
                    Address{.Ip = 0x64400007, .Port = 8172},
                "callers receive on the instances' port");
   }
 
   void writesThePublishedReset() {
     Buffer buf;
-    size_t n = PacketHead(8172).writeReset(
+    size_t n = PacketFraming(8172).writeReset(
         {.Flow = Flow, .Near = 0, .Why = Reason::NoMatch}, buf.Data);
     expectTrue(buf.first(n) == bytesOf(PublishedReset), "byte for byte");
-    PacketHead(8172).writeReset({.Flow = Flow, .Near = 0x01020304}, buf.Data);
+    PacketFraming(8172).writeReset({.Flow = Flow, .Near = 0x01020304},
+                                   buf.Data);
     expectEqual<int>(4, std::to_integer<int>(buf.Data[21]));
   }
 
@@ -80,7 +81,7 @@
       auto token = *rc::gen::arbitrary<uint32_t>();
       auto id = *rc::gen::arbitrary<uint64_t>();
       Buffer buf;
-      size_t n = PacketHead(1).writeForward(
+      size_t n = PacketFraming(1).writeForward(
           {.To = BackendId{id}, .Echo = Token{token}, .Raw = raw}, buf.Data);
       std::vector<std::byte> out = buf.first(n);
       RC_ASSERT(out.size() == raw.size() + 8);
@@ -101,17 +102,17 @@
   void refusesWhatIsNoPacket() {
     std::vector<std::byte> raw = bytesOf(PublishedOpening);
     raw.pop_back();
-    expectTrue(!PacketHead(1).read(raw), "too short");
+    expectTrue(!PacketFraming(1).read(raw), "too short");
     raw.resize(40);
-    expectTrue(!PacketHead(1).read(raw), "longer than its length says");
+    expectTrue(!PacketFraming(1).read(raw), "longer than its length says");
     raw.assign(32 + 1201, std::byte{0});
-    expectTrue(!PacketHead(1).read(raw), "too long");
+    expectTrue(!PacketFraming(1).read(raw), "too long");
     property("any bytes are read or refused", [] {
       auto raw = *rc::gen::container<std::vector<uint8_t>>(
           rc::gen::arbitrary<uint8_t>());
-      PacketHead(1).read(std::as_bytes(std::span(raw)));
+      PacketFraming(1).read(std::as_bytes(std::span(raw)));
     });
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PacketHeadTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PacketFramingTest);
--- a/tests/fuzz/packet_head.cpp
+++ b/tests/fuzz/packet_head.cpp
@@ -3,13 +3,13 @@
 
 #include "Fuzz.h"
 
-#include "platform/PacketHead.h"
+#include "platform/PacketFraming.h"
 
 #include <array>
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size) {
   using namespace chicory;
-  const platform::PacketHead framing(8172);
+  const platform::PacketFraming framing(8172);
   token::Bytes raw(reinterpret_cast<const std::byte *>(data), size);
   auto head = framing.read(raw);
   if (!head)
