--- a/include/chicorybank/peer/Messages.h
+++ b/include/chicorybank/peer/Messages.h
@@ -1,9 +1,9 @@
-// The inner protocol: what instances send to each other, and its coding.
+// The inner protocol: messages between instances and their encoding.
 //
-// Two ways lead from instance to instance. Datagrams carry passed-on packets,
-// queries and replies; HTTP/2 streams carry heartbeats and rule sets
-// (`Transport.h`). Both are CBOR (RFC 8949). docs/design/inner-protocol.md has
-// the layout, and says what the shared key protects and what it does not.
+// Instances use two channels. Datagrams carry forwarded packets, queries and
+// replies; HTTP/2 streams (`Transport.h`) carry heartbeats and rule sets. Both
+// are encoded as CBOR (RFC 8949). docs/design/inner-protocol.md describes the
+// layout, and what the shared key protects and what it does not.
 
 #ifndef CHICORYBANK_PEER_MESSAGES_H
 #define CHICORYBANK_PEER_MESSAGES_H
@@ -17,16 +17,16 @@
 
 namespace chicory {
 
-/// Asks a peer for its rule set.
+/// Requests the rule set of a peer.
 struct RuleRequest {
   InstanceInfo Sender;
-  /// Pages that the sender has already.
+  /// Pages that the sender already has.
   std::vector<PageId> KnownPages;
 
   bool operator==(const RuleRequest &) const = default;
 };
 
-/// A rule set, less the pages that the receiver has.
+/// A rule set without the pages that the receiver already has.
 struct RuleDocument {
   RuleManifest Manifest;
   PageStore Pages;
@@ -34,22 +34,24 @@
   bool operator==(const RuleDocument &) const = default;
 };
 
-/// What goes over control streams.
+/// A message on a control stream.
 using ControlMessage = std::variant<Heartbeat, RuleRequest, RuleDocument>;
 
-/// What goes in datagrams between instances.
+/// A message in a datagram between instances.
 using PeerDatagram = std::variant<ForwardedPacketArrived, FlowQuery, FlowReply>;
 
-/// Proves that a message comes from an instance that has the shared key.
+/// Authenticates messages by the key that all instances share.
 ///
 ///   PeerKey key("a secret of 32 bytes or more");
 class PeerKey {
 public:
   explicit PeerKey(const QByteArray &secret);
 
-  /// Sent in the clear in each datagram; a stray sender can't guess it.
+  /// Returns the token that each datagram carries in clear text. A sender
+  /// without the key can't guess it.
   uint64_t datagramToken() const { return Token; }
-  /// The code of a control message: HMAC-SHA256, cut to 16 bytes.
+  /// Returns the authentication code of a control message: HMAC-SHA256,
+  /// truncated to 16 bytes.
   QByteArray mac(const QByteArray &message) const;
 
 private:
@@ -57,26 +59,26 @@
   uint64_t Token;
 };
 
-/// How long a message's code is.
+/// Length of a control message's authentication code.
 inline constexpr qsizetype MessageMacBytes = 16;
 
-/// The bytes of a control message, without length and code.
+/// Encodes a control message, without its length and authentication code.
 QByteArray encodeControl(const ControlMessage &message);
 
-/// The inverse of `encodeControl`; fails with BadPeerMessage.
+/// Decodes a control message. Fails with BadPeerMessage or BadVersion.
 tl::expected<ControlMessage, Reason> decodeControl(const QByteArray &bytes);
 
-/// The datagram for another instance. `sender` is this instance.
+/// Encodes a datagram for another instance. `sender` is this instance.
 QByteArray encodePeerDatagram(const PeerDatagram &message, InstanceId sender,
                               const PeerKey &key);
 
-/// True where a datagram claims to come from an instance: its first byte
+/// Returns whether a datagram claims to come from an instance: its first byte
 /// differs from that of a caller's packet.
 bool isPeerDatagram(const QByteArray &datagram);
 
-/// The inverse of `encodePeerDatagram`. Fails with BadPeerMessage, BadVersion
-/// or BadPeerKey. The packet that a ForwardedPacketArrived carries is not
-/// decoded: only `Packet.Datagram` and `Packet.From` are filled.
+/// Decodes a datagram from another instance. Fails with BadPeerMessage,
+/// BadVersion or BadPeerKey. Does not decode the packet inside a
+/// ForwardedPacketArrived: only `Packet.Datagram` and `Packet.From` are set.
 tl::expected<PeerDatagram, Reason> decodePeerDatagram(const QByteArray &bytes,
                                                       const PeerKey &key);
 
--- a/include/chicorybank/peer/Transport.h
+++ b/include/chicorybank/peer/Transport.h
@@ -1,9 +1,9 @@
-// Control messages over HTTP/2 streams (RFC 9113, by nghttp2).
+// Control messages over HTTP/2 streams (RFC 9113, using nghttp2).
 //
 // Each instance keeps one connection to every peer that it sends to, with one
-// long stream on it; a message is a length, a code and a body in the stream's
-// DATA frames. So a heartbeat costs its own bytes and 29 more. One thread
-// serves all connections.
+// long-lived stream. A message is a length, an authentication code and a body
+// in the stream's DATA frames, so a heartbeat costs 29 bytes more than its
+// body. One thread serves all connections.
 
 #ifndef CHICORYBANK_PEER_TRANSPORT_H
 #define CHICORYBANK_PEER_TRANSPORT_H
@@ -17,26 +17,28 @@
 
 namespace chicory {
 
-/// Options of a transport.
 struct TransportOptions {
-  /// Where to listen; also the source address of connections to peers, so that
-  /// a firewall can tell instances apart by address.
+  /// The address to listen on. It is also the source address of connections to
+  /// peers, so that a firewall can tell instances apart by address.
   Address Listen;
   QByteArray Secret;
-  /// How long to wait before a failed connection is tried again.
+  /// Delay before the next attempt after a failed connection.
   Duration ReconnectAfter = std::chrono::milliseconds(300);
-  /// What may wait for one peer; more is dropped and counted.
+  /// Limit on the bytes queued for one peer. Messages beyond it are dropped
+  /// and reported with PeerUnreachable.
   size_t MaxQueuedBytes = 4 << 20;
-  /// A longer message is refused and its connection closed.
+  /// A longer message is rejected and its connection closed.
   uint32_t MaxMessageBytes = 16 << 20;
 };
 
-/// What a transport tells. All are called on the transport's thread.
+/// Callbacks of a transport. They run on the transport's thread, except that
+/// `send` reports RingFull on the thread of its caller.
 struct TransportCallbacks {
   std::function<void(ControlMessage)> Message;
-  /// Nothing listens at a peer's address.
+  /// A peer refused the connection: nothing listens at its address.
   std::function<void(InstanceId)> Refused;
-  /// A message was bad (BadPeerMessage, BadPeerKey) or dropped (RingFull).
+  /// A message was invalid (BadPeerMessage, BadVersion, BadPeerKey) or dropped
+  /// (RingFull, PeerUnreachable).
   std::function<void(Reason)> Fault;
 };
 
@@ -53,13 +55,14 @@
   Transport(const Transport &) = delete;
   Transport &operator=(const Transport &) = delete;
 
-  /// Binds and starts the thread. Fails with a text for operators.
+  /// Binds the listening socket and starts the thread. Fails with an error text
+  /// for operators.
   tl::expected<void, std::string> start();
-  /// Queues a message; may be called by any one thread at a time.
+  /// Queues a message. Only one thread at a time may call it.
   void send(const InstanceInfo &to, const ControlMessage &message);
-  /// Bytes written to peers since the start.
+  /// Returns the number of bytes written to peers since the start.
   uint64_t bytesSent() const;
-  /// Ends the thread and closes all connections.
+  /// Stops the thread. The destructor closes the connections.
   void stop();
 
 private:
--- a/lib/peer/Http2.cpp
+++ b/lib/peer/Http2.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr qsizetype LengthBytes = 4;
-constexpr size_t ReadChunk = 65536;
-// One long stream takes all the data: let it use the whole window.
+constexpr size_t ReadChunkBytes = 65536;
+// One stream carries all the data, so it may use the whole window.
 constexpr int32_t WindowBytes = 16 << 20;
 
 nghttp2_nv header(const char *name, const std::string &value) {
   nghttp2_nv out{};
-  // nghttp2 does not write to these; its interface predates const.
+  // nghttp2 takes pointers to non-const but does not write through them.
   out.name = reinterpret_cast<uint8_t *>(const_cast<char *>(name));
   out.value = reinterpret_cast<uint8_t *>(const_cast<char *>(value.data()));
   out.namelen = std::strlen(name);
@@ -36,17 +36,17 @@
 tl::expected<void, Reason>
 MessageReader::feed(const char *data, size_t size,
                     const std::function<void(ControlMessage)> &handle) {
-  constexpr qsizetype HeadBytes = LengthBytes + MessageMacBytes;
+  constexpr qsizetype HeaderBytes = LengthBytes + MessageMacBytes;
   Pending.append(data, static_cast<qsizetype>(size));
-  while (Pending.size() >= HeadBytes) {
+  while (Pending.size() >= HeaderBytes) {
     auto length = qFromBigEndian<quint32>(Pending.constData());
     if (length > MaxBytes)
       return tl::make_unexpected(Reason::BadPeerMessage);
-    if (Pending.size() < HeadBytes + static_cast<qsizetype>(length))
+    if (Pending.size() < HeaderBytes + static_cast<qsizetype>(length))
       break;
     QByteArray mac = Pending.mid(LengthBytes, MessageMacBytes);
-    QByteArray body = Pending.mid(HeadBytes, length);
-    Pending.remove(0, HeadBytes + length);
+    QByteArray body = Pending.mid(HeaderBytes, length);
+    Pending.remove(0, HeaderBytes + length);
     if (mac != Key.mac(body))
       return tl::make_unexpected(Reason::BadPeerKey);
     tl::expected<ControlMessage, Reason> message = decodeControl(body);
@@ -117,11 +117,11 @@
                                   nghttp2_data_source * /*source*/,
                                   void *userData) {
   auto *self = static_cast<Http2Connection *>(userData);
-  if (self->Outgoing.isEmpty())
+  if (self->UnframedBytes.isEmpty())
     return NGHTTP2_ERR_DEFERRED;
-  auto n = std::min(length, static_cast<size_t>(self->Outgoing.size()));
-  std::memcpy(buf, self->Outgoing.constData(), n);
-  self->Outgoing.remove(0, static_cast<qsizetype>(n));
+  auto n = std::min(length, static_cast<size_t>(self->UnframedBytes.size()));
+  std::memcpy(buf, self->UnframedBytes.constData(), n);
+  self->UnframedBytes.remove(0, static_cast<qsizetype>(n));
   return static_cast<ssize_t>(n);
 }
 
@@ -135,16 +135,16 @@
 }
 
 void Http2Connection::write(const QByteArray &bytes) {
-  Outgoing.append(bytes);
+  UnframedBytes.append(bytes);
   nghttp2_session_resume_data(Session, Stream);
 }
 
 bool Http2Connection::wantsWrite() const {
-  return !Unsent.isEmpty() || nghttp2_session_want_write(Session) != 0;
+  return !UnsentFrames.isEmpty() || nghttp2_session_want_write(Session) != 0;
 }
 
 bool Http2Connection::readFromSocket() {
-  std::array<uint8_t, ReadChunk> buf;
+  std::array<uint8_t, ReadChunkBytes> buf;
   ssize_t n = ::recv(Socket.get(), buf.data(), buf.size(), 0);
   if (n < 0)
     return errno == EAGAIN || errno == EINTR;
@@ -156,21 +156,22 @@
 
 bool Http2Connection::writeToSocket(uint64_t &bytesSent) {
   for (;;) {
-    if (Unsent.isEmpty()) {
+    if (UnsentFrames.isEmpty()) {
       const uint8_t *data = nullptr;
       ssize_t n = nghttp2_session_mem_send(Session, &data);
       if (n < 0)
         return false;
       if (n == 0)
         return true;
-      Unsent.append(reinterpret_cast<const char *>(data), n);
+      UnsentFrames.append(reinterpret_cast<const char *>(data), n);
     }
-    ssize_t sent = ::send(Socket.get(), Unsent.constData(),
-                          static_cast<size_t>(Unsent.size()), MSG_NOSIGNAL);
+    ssize_t sent =
+        ::send(Socket.get(), UnsentFrames.constData(),
+               static_cast<size_t>(UnsentFrames.size()), MSG_NOSIGNAL);
     if (sent < 0)
       return errno == EAGAIN || errno == EINTR;
     bytesSent += static_cast<uint64_t>(sent);
-    Unsent.remove(0, sent);
+    UnsentFrames.remove(0, sent);
   }
 }
 
--- a/lib/peer/Http2.h
+++ b/lib/peer/Http2.h
@@ -12,17 +12,19 @@
 
 namespace chicory {
 
-/// Cuts a stream's bytes into messages and checks their codes.
+/// Splits a stream's bytes into messages and checks their authentication codes.
 ///
-/// A message is its length in four bytes (big-endian), its code, its body.
+/// A message is its length in four bytes (big-endian), its authentication code
+/// and its body.
 class MessageReader {
 public:
   MessageReader(const PeerKey &key, uint32_t maxBytes)
       : Key(key), MaxBytes(maxBytes) {}
 
-  /// Takes in bytes and hands each whole message over. Fails for good at the
-  /// first message that is too long (BadPeerMessage), has a wrong code
-  /// (BadPeerKey) or can't be decoded.
+  /// Consumes bytes and passes each complete message to `handle`. Fails at the
+  /// first message that is too long (BadPeerMessage), has a wrong
+  /// authentication code (BadPeerKey) or can't be decoded. Don't call it again
+  /// after a failure.
   tl::expected<void, Reason>
   feed(const char *data, size_t size,
        const std::function<void(ControlMessage)> &handle);
@@ -33,16 +35,19 @@
   QByteArray Pending;
 };
 
-/// A message as it stands in the stream.
+/// Returns a message as it is sent on the stream: length, authentication code,
+/// body.
 QByteArray frameMessage(const QByteArray &body, const PeerKey &key);
 
-/// A connection with its nghttp2 session.
+/// A connection and its nghttp2 session.
 class Http2Connection {
 public:
-  /// The client's end: `path` is asked for with one long POST.
+  /// Creates the client's end. It sends one long-lived POST request, whose body
+  /// carries the messages.
   static std::unique_ptr<Http2Connection> client(FileDescriptor socket,
                                                  const std::string &authority);
-  /// The server's end: hands over what comes in.
+  /// Creates the server's end. It passes the bytes of request bodies to
+  /// `received`; if that returns false, the connection ends.
   static std::unique_ptr<Http2Connection>
   server(FileDescriptor socket,
          std::function<bool(const char *, size_t)> received);
@@ -53,12 +58,15 @@
   int fd() const { return Socket.get(); }
   /// Queues bytes for the client's stream.
   void write(const QByteArray &bytes);
-  /// How many bytes wait to be sent.
-  size_t unsentBytes() const { return Outgoing.size() + Unsent.size(); }
+  /// Returns the number of queued bytes that are not sent yet.
+  size_t unsentBytes() const {
+    return UnframedBytes.size() + UnsentFrames.size();
+  }
   bool wantsWrite() const;
-  /// Reads what the socket has. Returns false where the connection is over.
+  /// Reads available bytes. Returns false if the connection has ended.
   bool readFromSocket();
-  /// Writes what the socket takes. Returns false where it is over.
+  /// Writes until the socket would block, and adds the bytes written to
+  /// `bytesSent`. Returns false if the connection has ended.
   bool writeToSocket(uint64_t &bytesSent);
 
 private:
@@ -76,10 +84,10 @@
   std::function<bool(const char *, size_t)> Received;
   nghttp2_session *Session = nullptr;
   int32_t Stream = -1;
-  /// Message bytes that nghttp2 has yet to put into frames.
-  QByteArray Outgoing;
-  /// Frames that the socket has yet to take.
-  QByteArray Unsent;
+  /// Message bytes that nghttp2 has not put into frames yet.
+  QByteArray UnframedBytes;
+  /// Frames that the socket has not accepted yet.
+  QByteArray UnsentFrames;
 };
 
 } // namespace chicory
--- a/lib/peer/Messages.cpp
+++ b/lib/peer/Messages.cpp
@@ -13,12 +13,13 @@
 namespace {
 
 constexpr qint64 ProtocolVersion = 1;
-// The head of a datagram is a CBOR array of four; a packet is one of thirteen.
-constexpr uint64_t HeadFields = 4;
-constexpr auto HeadByte = static_cast<char>(0x84);
+// A datagram starts with a CBOR array of four fields; a caller's packet is an
+// array of thirteen, so their first bytes differ.
+constexpr uint64_t HeaderFields = 4;
+constexpr auto FirstByte = static_cast<char>(0x84);
 
 enum class ControlType : qint64 { Heartbeat = 1, RuleRequest, RuleDocument };
-enum class DatagramType : uint64_t { PassOn = 1, Query, Reply };
+enum class DatagramType : uint64_t { ForwardedPacket = 1, Query, Reply };
 
 template <typename... Visitors> struct Overloaded : Visitors... {
   using Visitors::operator()...;
@@ -187,7 +188,7 @@
   return reader.next();
 }
 
-/// Reads an array of exactly these numbers and leaves it.
+/// Reads an array of exactly `Size` unsigned integers.
 template <size_t Size>
 bool readNumbers(QCborStreamReader &reader,
                  std::array<uint64_t, Size> &numbers) {
@@ -200,15 +201,17 @@
   return reader.leaveContainer();
 }
 
-/// Writes the head and an array of numbers.
+/// Writes the header and an array of numbers. Reserves space for `payloadBytes`
+/// bytes that the caller appends.
 template <size_t Size>
-QByteArray
-writeDatagram(DatagramType type, InstanceId sender, const PeerKey &key,
-              const std::array<uint64_t, Size> &numbers, qsizetype more) {
+QByteArray writeDatagram(DatagramType type, InstanceId sender,
+                         const PeerKey &key,
+                         const std::array<uint64_t, Size> &numbers,
+                         qsizetype payloadBytes) {
   QByteArray buf;
-  buf.reserve(96 + more);
+  buf.reserve(96 + payloadBytes);
   QCborStreamWriter writer(&buf);
-  writer.startArray(HeadFields);
+  writer.startArray(HeaderFields);
   writer.append(ProtocolVersion);
   writer.append(quint64{key.datagramToken()});
   writer.append(static_cast<quint64>(type));
@@ -227,8 +230,8 @@
           .Protocol = static_cast<uint8_t>(protocol)};
 }
 
-std::optional<ForwardedPacketArrived> readPassOn(QCborStreamReader &reader,
-                                                 const QByteArray &bytes) {
+std::optional<ForwardedPacketArrived>
+readForwardedPacket(QCborStreamReader &reader, const QByteArray &bytes) {
   std::array<uint64_t, 3> numbers{};
   if (!readNumbers(reader, numbers) || numbers[0] > UINT8_MAX)
     return std::nullopt;
@@ -265,7 +268,8 @@
 }
 
 template <typename Message>
-tl::expected<PeerDatagram, Reason> orBad(std::optional<Message> message) {
+tl::expected<PeerDatagram, Reason>
+orBadPeerMessage(std::optional<Message> message) {
   if (!message)
     return tl::make_unexpected(Reason::BadPeerMessage);
   return PeerDatagram(std::move(*message));
@@ -315,10 +319,10 @@
 
 QByteArray encodePeerDatagram(const PeerDatagram &message, InstanceId sender,
                               const PeerKey &key) {
-  auto passOn = [&](const ForwardedPacketArrived &it) {
+  auto forwardedPacket = [&](const ForwardedPacketArrived &it) {
     std::array<uint64_t, 3> numbers = {it.Hops, it.Rules.Value,
                                        it.Packet.From.packed()};
-    return writeDatagram(DatagramType::PassOn, sender, key, numbers,
+    return writeDatagram(DatagramType::ForwardedPacket, sender, key, numbers,
                          it.Packet.Datagram.size()) +
            it.Packet.Datagram;
   };
@@ -343,42 +347,44 @@
                                        it.Replier.Value};
     return writeDatagram(DatagramType::Reply, sender, key, numbers, 0);
   };
-  return std::visit(Overloaded{passOn, query, reply}, message);
+  return std::visit(Overloaded{forwardedPacket, query, reply}, message);
 }
 
 bool isPeerDatagram(const QByteArray &datagram) {
-  return !datagram.isEmpty() && datagram.front() == HeadByte;
+  return !datagram.isEmpty() && datagram.front() == FirstByte;
 }
 
 tl::expected<PeerDatagram, Reason> decodePeerDatagram(const QByteArray &bytes,
                                                       const PeerKey &key) {
-  auto bad = tl::make_unexpected(Reason::BadPeerMessage);
+  auto badMessage = tl::make_unexpected(Reason::BadPeerMessage);
   QCborStreamReader reader(bytes.constData(), bytes.size());
-  std::array<uint64_t, HeadFields> head{};
-  if (!readNumbers(reader, head))
-    return bad;
-  auto [version, token, type, sender] = head;
+  std::array<uint64_t, HeaderFields> header{};
+  if (!readNumbers(reader, header))
+    return badMessage;
+  auto [version, token, type, sender] = header;
   if (version != ProtocolVersion)
     return tl::make_unexpected(Reason::BadVersion);
   if (token != key.datagramToken())
     return tl::make_unexpected(Reason::BadPeerKey);
-  // The reader stands behind one item of a sequence; start anew on the next.
+  // A reader stops after one item of a CBOR sequence; the next item needs a new
+  // reader.
   qsizetype offset = reader.currentOffset();
   QByteArray rest = bytes.mid(offset);
   QCborStreamReader fields(rest.constData(), rest.size());
   switch (static_cast<DatagramType>(type)) {
-  case DatagramType::PassOn: {
-    std::optional<ForwardedPacketArrived> out = readPassOn(fields, rest);
+  case DatagramType::ForwardedPacket: {
+    std::optional<ForwardedPacketArrived> out =
+        readForwardedPacket(fields, rest);
     if (out)
       out->Sender = InstanceId{static_cast<uint32_t>(sender)};
-    return orBad(std::move(out));
+    return orBadPeerMessage(std::move(out));
   }
   case DatagramType::Query:
-    return orBad(readQuery(fields));
+    return orBadPeerMessage(readQuery(fields));
   case DatagramType::Reply:
-    return orBad(readReply(fields));
+    return orBadPeerMessage(readReply(fields));
   }
-  return bad;
+  return badMessage;
 }
 
 } // namespace chicory
--- a/lib/peer/Transport.cpp
+++ b/lib/peer/Transport.cpp
@@ -21,7 +21,8 @@
 
 constexpr size_t SendRingSize = 1024;
 constexpr int PollTimeoutMs = 50;
-constexpr auto SteadyFor = std::chrono::seconds(1);
+/// A connection that lasted longer than this is reconnected at once.
+constexpr auto StableUptime = std::chrono::seconds(1);
 
 struct OutgoingMessage {
   InstanceInfo To;
@@ -34,16 +35,16 @@
   std::unique_ptr<Http2Connection> Connection;
   bool Connecting = false;
   SteadyTime RetryAt;
-  SteadyTime UpSince;
-  /// It has just been lost: try again at once, nothing need wait for it.
+  SteadyTime ConnectedSince;
+  /// The connection was just lost: reconnect even if no message is queued.
   bool Reconnect = false;
-  /// What waits for the connection; only the newest is of use.
-  QByteArray Waiting;
+  /// The newest message sent while disconnected; earlier ones are obsolete.
+  QByteArray QueuedMessage;
 };
 
 } // namespace
 
-/// The thread with its sockets.
+/// The transport's thread and its sockets.
 class Transport::EventLoop {
 public:
   EventLoop(TransportOptions options, TransportCallbacks callbacks)
@@ -57,20 +58,20 @@
   std::atomic<uint64_t> BytesSent = 0;
 
 private:
-  struct ServerEnd {
+  struct IncomingConnection {
     std::unique_ptr<Http2Connection> Connection;
-    bool Dead = false;
+    bool HasEnded = false;
   };
 
   void run();
-  void takeSendRing();
+  void drainSendRing();
   void connect(InstanceId id, PeerLink &link);
   void finishConnect(InstanceId id, PeerLink &link);
-  void lost(InstanceId id, PeerLink &link, bool refused);
+  void handleLoss(InstanceId id, PeerLink &link, bool refused);
   void acceptAll();
   void pollOnce();
-  void serveLinks(const std::map<int, short> &ready);
-  void serveServers(const std::map<int, short> &ready);
+  void serveOutgoing(const std::map<int, short> &ready);
+  void serveIncoming(const std::map<int, short> &ready);
 
   TransportOptions Options;
   TransportCallbacks Callbacks;
@@ -79,7 +80,7 @@
   FileDescriptor Wake;
   FileDescriptor Listener;
   std::map<InstanceId, PeerLink> Links;
-  std::list<ServerEnd> Servers;
+  std::list<IncomingConnection> Incoming;
   std::atomic<bool> Stopping = false;
   std::thread Worker;
 };
@@ -116,7 +117,7 @@
     pollOnce();
 }
 
-void Transport::EventLoop::takeSendRing() {
+void Transport::EventLoop::drainSendRing() {
   uint64_t drained = 0;
   [[maybe_unused]] ssize_t n = ::read(Wake.get(), &drained, sizeof(drained));
   OutgoingMessage message;
@@ -124,9 +125,9 @@
     PeerLink &link = Links[message.To.Id];
     link.To = message.To.Peers;
     if (link.Connection == nullptr || link.Connecting) {
-      // A peer that comes back wants to know how things stand now; what was
-      // said while it was away is out of date.
-      link.Waiting = message.Bytes;
+      // Keep only the newest message: earlier ones are out of date once the
+      // peer can be reached again.
+      link.QueuedMessage = message.Bytes;
     } else if (link.Connection->unsentBytes() > Options.MaxQueuedBytes) {
       Callbacks.Fault(Reason::PeerUnreachable);
     } else {
@@ -138,7 +139,7 @@
 void Transport::EventLoop::connect(InstanceId id, PeerLink &link) {
   auto socket = connectTcp(Options.Listen.Ip, link.To);
   if (!socket)
-    return lost(id, link, errno == ECONNREFUSED);
+    return handleLoss(id, link, errno == ECONNREFUSED);
   link.Connection =
       Http2Connection::client(std::move(*socket), formatAddress(link.To));
   link.Connecting = true;
@@ -149,23 +150,25 @@
   socklen_t size = sizeof(error);
   ::getsockopt(link.Connection->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
   if (error != 0)
-    return lost(id, link, error == ECONNREFUSED);
+    return handleLoss(id, link, error == ECONNREFUSED);
   link.Connecting = false;
-  link.UpSince = std::chrono::steady_clock::now();
-  link.Connection->write(std::exchange(link.Waiting, {}));
+  link.ConnectedSince = std::chrono::steady_clock::now();
+  link.Connection->write(std::exchange(link.QueuedMessage, {}));
 }
 
-void Transport::EventLoop::lost(InstanceId id, PeerLink &link, bool refused) {
+void Transport::EventLoop::handleLoss(InstanceId id, PeerLink &link,
+                                      bool refused) {
   auto now = std::chrono::steady_clock::now();
-  // One that breaks right after it came up would be tried in a tight loop.
-  bool wasUp = link.Connection != nullptr && !link.Connecting &&
-               now - link.UpSince > SteadyFor;
+  // Without the minimum uptime, a connection that breaks right after it is
+  // established would be retried in a tight loop.
+  bool wasStable = link.Connection != nullptr && !link.Connecting &&
+                   now - link.ConnectedSince > StableUptime;
   link.Connection.reset();
   link.Connecting = false;
-  // A connection that breaks may mean that the peer's process has died; a
-  // refusal on the next try tells at once.
-  link.Reconnect = wasUp;
-  link.RetryAt = wasUp ? now : now + Options.ReconnectAfter;
+  // A broken connection may mean that the peer's process has stopped. In that
+  // case an immediate reconnect is refused, which reports it without delay.
+  link.Reconnect = wasStable;
+  link.RetryAt = wasStable ? now : now + Options.ReconnectAfter;
   if (refused && Callbacks.Refused)
     Callbacks.Refused(id);
 }
@@ -183,13 +186,13 @@
         Callbacks.Fault(fed.error());
       return fed.has_value();
     };
-    Servers.push_back(
+    Incoming.push_back(
         {.Connection = Http2Connection::server(std::move(socket), received)});
   }
 }
 
 void Transport::EventLoop::pollOnce() {
-  takeSendRing();
+  drainSendRing();
   auto now = std::chrono::steady_clock::now();
   std::vector<pollfd> fds = {{.fd = Wake.get(), .events = POLLIN},
                              {.fd = Listener.get(), .events = POLLIN}};
@@ -201,12 +204,12 @@
   };
   for (auto &[id, link] : Links) {
     if (link.Connection == nullptr && now >= link.RetryAt &&
-        (link.Reconnect || !link.Waiting.isEmpty()))
+        (link.Reconnect || !link.QueuedMessage.isEmpty()))
       connect(id, link);
     if (link.Connection != nullptr)
       add(*link.Connection, link.Connecting);
   }
-  for (ServerEnd &it : Servers)
+  for (IncomingConnection &it : Incoming)
     add(*it.Connection, false);
   if (::poll(fds.data(), fds.size(), PollTimeoutMs) <= 0)
     return;
@@ -215,11 +218,11 @@
     ready[it.fd] = it.revents;
   if (ready[Listener.get()] != 0)
     acceptAll();
-  serveLinks(ready);
-  serveServers(ready);
+  serveOutgoing(ready);
+  serveIncoming(ready);
 }
 
-void Transport::EventLoop::serveLinks(const std::map<int, short> &ready) {
+void Transport::EventLoop::serveOutgoing(const std::map<int, short> &ready) {
   for (auto &[id, link] : Links) {
     if (link.Connection == nullptr)
       continue;
@@ -235,22 +238,22 @@
               link.Connection->writeToSocket(sent);
     BytesSent += sent;
     if (!ok)
-      lost(id, link, false);
+      handleLoss(id, link, false);
   }
 }
 
-void Transport::EventLoop::serveServers(const std::map<int, short> &ready) {
-  for (ServerEnd &end : Servers) {
+void Transport::EventLoop::serveIncoming(const std::map<int, short> &ready) {
+  for (IncomingConnection &end : Incoming) {
     auto it = ready.find(end.Connection->fd());
     if (it == ready.end() || it->second == 0)
       continue;
     uint64_t sent = 0;
     bool readable = (it->second & (POLLIN | POLLHUP | POLLERR)) != 0;
-    end.Dead = (readable && !end.Connection->readFromSocket()) ||
-               !end.Connection->writeToSocket(sent);
+    end.HasEnded = (readable && !end.Connection->readFromSocket()) ||
+                   !end.Connection->writeToSocket(sent);
     BytesSent += sent;
   }
-  Servers.remove_if([](const ServerEnd &it) { return it.Dead; });
+  Incoming.remove_if([](const IncomingConnection &it) { return it.HasEnded; });
 }
 
 Transport::Transport(TransportOptions options, TransportCallbacks callbacks)
--- a/tests/MessagesTest.cpp
+++ b/tests/MessagesTest.cpp
@@ -35,7 +35,7 @@
                        .Previous = {InstanceId{2}}}};
 }
 
-ForwardedPacketArrived passedOn() {
+ForwardedPacketArrived forwardedPacket() {
   ForwardedPacketArrived out{
       .Sender = InstanceId{4}, .Hops = 2, .Rules = RuleVersion{77}};
   out.Packet.From = samples::target(1);
@@ -48,30 +48,31 @@
 
 class MessagesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MessagesTest);
-  CPPUNIT_TEST(readsBackControlMessages);
-  CPPUNIT_TEST(readsBackDatagrams);
-  CPPUNIT_TEST(refusesAnotherKey);
-  CPPUNIT_TEST(survivesGarbage);
+  CPPUNIT_TEST(roundTripsControlMessages);
+  CPPUNIT_TEST(roundTripsDatagrams);
+  CPPUNIT_TEST(rejectsAnotherKey);
+  CPPUNIT_TEST(decodesInvalidBytesWithoutCrash);
   CPPUNIT_TEST_SUITE_END();
 
-  void readsBackControlMessages() {
+  void roundTripsControlMessages() {
     RuleDocument document;
     document.Manifest = paginate(samples::ruleSet(5), document.Pages);
-    Heartbeat bare = heartbeat();
-    bare.Sender = {.Id = InstanceId{3}};
+    Heartbeat onlyIdOfSender = heartbeat();
+    onlyIdOfSender.Sender = {.Id = InstanceId{3}};
     std::vector<ControlMessage> messages = {
-        heartbeat(), bare,
+        heartbeat(), onlyIdOfSender,
         RuleRequest{.Sender = info(), .KnownPages = {PageId{UINT64_MAX}}},
         document};
     for (const ControlMessage &it : messages) {
       auto read = decodeControl(encodeControl(it));
-      expectTrue(read.has_value() && *read == it, "an equal message");
+      expectTrue(read.has_value() && *read == it,
+                 "decoding returns the same message");
     }
   }
 
-  void readsBackDatagrams() {
-    section("a passed-on packet", [] {
-      ForwardedPacketArrived sent = passedOn();
+  void roundTripsDatagrams() {
+    section("a forwarded packet", [] {
+      ForwardedPacketArrived sent = forwardedPacket();
       auto read =
           decodePeerDatagram(encodePeerDatagram(sent, InstanceId{4}, Key), Key);
       const auto &got = std::get<ForwardedPacketArrived>(*read);
@@ -91,7 +92,7 @@
           encodePeerDatagram(query, InstanceId{5}, Key), Key);
       expectTrue(std::get<FlowQuery>(*read).Flow == query.Flow &&
                      std::get<FlowQuery>(*read).Asker == query.Asker,
-                 "the query");
+                 "flow and asker are the same");
       FlowReply reply{.Flow = samples::flow(2),
                       .Request = RequestId{9},
                       .Result = QueryResult::Seen,
@@ -102,33 +103,35 @@
           encodePeerDatagram(reply, InstanceId{6}, Key), Key);
       expectTrue(std::get<FlowReply>(*back).Target == reply.Target &&
                      std::get<FlowReply>(*back).Result == reply.Result,
-                 "the reply");
+                 "target and result are the same");
     });
-    section("told apart from a caller's packet by its first byte", [] {
-      expectTrue(
-          isPeerDatagram(encodePeerDatagram(passedOn(), InstanceId{4}, Key)),
-          "an instance's");
-      expectTrue(!isPeerDatagram(passedOn().Packet.Datagram), "a caller's");
+    section("differs from a caller's packet in its first byte", [] {
+      expectTrue(isPeerDatagram(
+                     encodePeerDatagram(forwardedPacket(), InstanceId{4}, Key)),
+                 "an instance's datagram");
+      expectTrue(!isPeerDatagram(forwardedPacket().Packet.Datagram),
+                 "a caller's packet");
     });
   }
 
-  void refusesAnotherKey() {
+  void rejectsAnotherKey() {
     PeerKey other("another key, not the same");
     auto read = decodePeerDatagram(
-        encodePeerDatagram(passedOn(), InstanceId{4}, other), Key);
-    expectTrue(read.error() == Reason::BadPeerKey, "bad key");
+        encodePeerDatagram(forwardedPacket(), InstanceId{4}, other), Key);
+    expectTrue(read.error() == Reason::BadPeerKey, "rejected for its key");
   }
 
-  void survivesGarbage() {
-    property("any bytes, without a crash", [] {
+  void decodesInvalidBytesWithoutCrash() {
+    property("decoding any bytes does not crash", [] {
       auto bytes =
           QByteArray::fromStdString(*rc::gen::arbitrary<std::string>());
       (void)decodeControl(bytes);
       (void)decodePeerDatagram(bytes, Key);
     });
-    property("any cut or damage, without a crash", [] {
+    property("decoding a truncated or damaged message does not crash", [] {
       QByteArray control = encodeControl(heartbeat());
-      QByteArray datagram = encodePeerDatagram(passedOn(), InstanceId{4}, Key);
+      QByteArray datagram =
+          encodePeerDatagram(forwardedPacket(), InstanceId{4}, Key);
       for (QByteArray *it : {&control, &datagram}) {
         auto at = *rc::gen::inRange<int>(0, static_cast<int>(it->size()));
         (*it)[at] = *rc::gen::arbitrary<char>();
--- a/tests/TransportTest.cpp
+++ b/tests/TransportTest.cpp
@@ -1,4 +1,4 @@
-// Real connections on loopback, on ports that the system chooses.
+// Uses real connections on loopback, with ports that the system chooses.
 
 #include "chicorybank/peer/Transport.h"
 
@@ -17,9 +17,9 @@
 
 namespace {
 
-/// What a transport told, and a way to wait for it. The time is a bound on a
-/// broken run only; no test depends on how long anything takes.
-class Told {
+/// Records a transport's callbacks and waits for them. The timeout only ends a
+/// failed run; no test depends on how long anything takes.
+class CallbackRecorder {
 public:
   TransportCallbacks callbacks() {
     return {.Message = [this](ControlMessage it) { add(std::move(it)); },
@@ -73,9 +73,9 @@
   CPPUNIT_TEST_SUITE(TransportTest);
   CPPUNIT_TEST(carriesMessagesInOrder);
   CPPUNIT_TEST(carriesLargeMessages);
-  CPPUNIT_TEST(refusesAnotherKey);
-  CPPUNIT_TEST(tellsOfARefusedConnection);
-  CPPUNIT_TEST(survivesGarbage);
+  CPPUNIT_TEST(rejectsAnotherKey);
+  CPPUNIT_TEST(reportsRefusedConnection);
+  CPPUNIT_TEST(closesConnectionOnInvalidBytes);
   CPPUNIT_TEST_SUITE_END();
 
   struct Pair {
@@ -83,7 +83,7 @@
       InstanceInfo other = infoAt(2, freeAddress());
       Receiver = std::make_unique<Transport>(
           TransportOptions{.Listen = other.Peers, .Secret = otherKey},
-          Got.callbacks());
+          Received.callbacks());
       Sender = std::make_unique<Transport>(
           TransportOptions{.Listen = freeAddress(),
                            .Secret = "one key for both sides"},
@@ -92,8 +92,8 @@
       expectTrue(Receiver->start().has_value() && Sender->start().has_value(),
                  "both start");
     }
-    Told Got;
-    Told Sent;
+    CallbackRecorder Received;
+    CallbackRecorder Sent;
     InstanceInfo To;
     std::unique_ptr<Transport> Receiver;
     std::unique_ptr<Transport> Sender;
@@ -102,15 +102,17 @@
   void carriesMessagesInOrder() {
     Pair pair;
     pair.Sender->send(pair.To, heartbeat(1));
-    expectTrue(pair.Got.waitFor([&] { return pair.Got.Messages.size() == 1; }),
+    expectTrue(pair.Received.waitFor(
+                   [&] { return pair.Received.Messages.size() == 1; }),
                "the first message arrives");
     for (uint64_t i = 2; i <= 50; ++i)
       pair.Sender->send(pair.To, heartbeat(i));
-    expectTrue(pair.Got.waitFor([&] { return pair.Got.Messages.size() == 50; }),
+    expectTrue(pair.Received.waitFor(
+                   [&] { return pair.Received.Messages.size() == 50; }),
                "all messages arrive");
     for (uint64_t i = 0; i < 50; ++i)
-      expectEqual<uint64_t>(i + 1,
-                            std::get<Heartbeat>(pair.Got.Messages[i]).Sequence);
+      expectEqual<uint64_t>(
+          i + 1, std::get<Heartbeat>(pair.Received.Messages[i]).Sequence);
     expectTrue(pair.Sender->bytesSent() > 0, "bytes are counted");
   }
 
@@ -122,37 +124,39 @@
       rules.Rules.push_back({.Name = "rule " + std::to_string(i)});
     document.Manifest = paginate(rules, document.Pages);
     pair.Sender->send(pair.To, document);
-    expectTrue(pair.Got.waitFor([&] { return pair.Got.Messages.size() == 1; }),
+    expectTrue(pair.Received.waitFor(
+                   [&] { return pair.Received.Messages.size() == 1; }),
                "it arrives");
-    expectTrue(std::get<RuleDocument>(pair.Got.Messages[0]) == document,
-               "it is whole");
+    expectTrue(std::get<RuleDocument>(pair.Received.Messages[0]) == document,
+               "it is complete");
   }
 
-  // Symptom: rules that no operator submitted are in force.
-  // Sequence: a stray process sends control messages to an instance.
-  // Cause: the sender is not asked who it is.
-  void refusesAnotherKey() {
+  // Without authentication of the sender, any process could send control
+  // messages to an instance, and rules that no operator submitted would be in
+  // force.
+  void rejectsAnotherKey() {
     Pair pair("a key that the sender lacks");
     pair.Sender->send(pair.To, heartbeat(1));
-    expectTrue(pair.Got.waitFor([&] { return !pair.Got.Faults.empty(); }),
-               "a fault is told");
-    expectTrue(pair.Got.Faults[0] == Reason::BadPeerKey, "a bad key");
-    expectTrue(pair.Got.Messages.empty(), "nothing got through");
+    expectTrue(
+        pair.Received.waitFor([&] { return !pair.Received.Faults.empty(); }),
+        "a fault is reported");
+    expectTrue(pair.Received.Faults[0] == Reason::BadPeerKey, "for the key");
+    expectTrue(pair.Received.Messages.empty(), "no message is delivered");
   }
 
-  void tellsOfARefusedConnection() {
-    Told told;
+  void reportsRefusedConnection() {
+    CallbackRecorder recorder;
     Transport transport({.Listen = freeAddress(), .Secret = "a long secret"},
-                        told.callbacks());
+                        recorder.callbacks());
     expectTrue(transport.start().has_value(), "it starts");
     transport.send(infoAt(9, freeAddress()), heartbeat(1));
-    expectTrue(told.waitFor([&] { return told.Refusals > 0; }),
-               "the refusal is told");
+    expectTrue(recorder.waitFor([&] { return recorder.Refusals > 0; }),
+               "the refusal is reported");
   }
 
-  void survivesGarbage() {
+  void closesConnectionOnInvalidBytes() {
     Pair pair;
-    section("bytes that are no HTTP/2 close their connection only", [&] {
+    section("bytes that are not HTTP/2 close only their connection", [&] {
       auto socket = connectTcp(0x7f000001, pair.To.Peers);
       std::string garbage(5000, 'x');
       bool closed = false;
@@ -166,8 +170,9 @@
       }
       expectTrue(closed, "the connection is closed");
       pair.Sender->send(pair.To, heartbeat(1));
-      expectTrue(pair.Got.waitFor([&] { return !pair.Got.Messages.empty(); }),
-                 "others go on");
+      expectTrue(pair.Received.waitFor(
+                     [&] { return !pair.Received.Messages.empty(); }),
+                 "other connections still work");
     });
   }
 };
