--- a/tests/PacketFramingTest.cpp
+++ b/tests/PacketFramingTest.cpp
@@ -1,4 +1,5 @@
-// The platform's packets, against the bytes that its pages publish.
+// Tests the framing of the platform's packets against the bytes in the
+// platform's published documentation.
 
 #include "platform/PacketFraming.h"
 
@@ -23,7 +24,7 @@
   return out;
 }
 
-// An opening from 100.64.0.7:40001 to 198.18.0.1:443, seq 0x11223344.
+// An opening packet from 100.64.0.7:40001 to 198.18.0.1:443, seq 0x11223344.
 constexpr std::string_view PublishedOpening =
     "c6 12 00 01 9c 41 01 bb 64 40 00 07 a1 b2 c3 d5 00 00 11 22 33 44 00 00 "
     "00 00 00 00 00 00 80 00";
@@ -47,17 +48,18 @@
   CPPUNIT_TEST_SUITE(PacketFramingTest);
   CPPUNIT_TEST(readsThePublishedOpening);
   CPPUNIT_TEST(writesThePublishedReset);
-  CPPUNIT_TEST(changesNothingButTheToken);
-  CPPUNIT_TEST(refusesWhatIsNoPacket);
+  CPPUNIT_TEST(forwardChangesOnlyTheToken);
+  CPPUNIT_TEST(rejectsInvalidPackets);
   CPPUNIT_TEST_SUITE_END();
 
   void readsThePublishedOpening() {
-    auto head = PacketFraming(8172).read(bytesOf(PublishedOpening));
-    expectTrue(head.has_value(), "it is a packet");
-    expectTrue(head->key() == Flow, "its flow");
-    expectTrue(head->Open && !head->Finish && !head->Reset, "its flags");
-    expectEqual<uint32_t>(0x11223344, head->Sequence);
-    expectEqual<int>(0, head->OpenCopy);
+    auto packet = PacketFraming(8172).read(bytesOf(PublishedOpening));
+    expectTrue(packet.has_value(), "the packet is valid");
+    expectTrue(packet->key() == Flow, "the flow is read");
+    expectTrue(packet->Open && !packet->Finish && !packet->Reset,
+               "only the opening flag is set");
+    expectEqual<uint32_t>(0x11223344, packet->Sequence);
+    expectEqual<int>(0, packet->OpenCopy);
     expectTrue(PacketFraming(8172).callerAddress(Flow) ==
                    Address{.Ip = 0x64400007, .Port = 8172},
                "callers receive on the instances' port");
@@ -67,14 +69,15 @@
     Buffer buf;
     size_t n = PacketFraming(8172).writeReset(
         {.Flow = Flow, .Near = 0, .Why = Reason::NoMatch}, buf.Data);
-    expectTrue(buf.first(n) == bytesOf(PublishedReset), "byte for byte");
+    expectTrue(buf.first(n) == bytesOf(PublishedReset),
+               "the reset is the same byte for byte");
     PacketFraming(8172).writeReset({.Flow = Flow, .Near = 0x01020304},
                                    buf.Data);
     expectEqual<int>(4, std::to_integer<int>(buf.Data[21]));
   }
 
-  void changesNothingButTheToken() {
-    property("a forwarded packet is the caller's, with a token", [] {
+  void forwardChangesOnlyTheToken() {
+    property("forwarding changes only the token", [] {
       std::vector<std::byte> raw = bytesOf(PublishedOpening);
       auto extra = *rc::gen::inRange<size_t>(0, 1200);
       raw.resize(32 + extra, std::byte{0x5a});
@@ -99,15 +102,16 @@
     });
   }
 
-  void refusesWhatIsNoPacket() {
+  void rejectsInvalidPackets() {
     std::vector<std::byte> raw = bytesOf(PublishedOpening);
     raw.pop_back();
     expectTrue(!PacketFraming(1).read(raw), "too short");
     raw.resize(40);
-    expectTrue(!PacketFraming(1).read(raw), "longer than its length says");
+    expectTrue(!PacketFraming(1).read(raw),
+               "longer than its length field says");
     raw.assign(32 + 1201, std::byte{0});
     expectTrue(!PacketFraming(1).read(raw), "too long");
-    property("any bytes are read or refused", [] {
+    property("reading any bytes does not crash", [] {
       auto raw = *rc::gen::container<std::vector<uint8_t>>(
           rc::gen::arbitrary<uint8_t>());
       PacketFraming(1).read(std::as_bytes(std::span(raw)));
--- a/tests/StoreDialectTest.cpp
+++ b/tests/StoreDialectTest.cpp
@@ -1,4 +1,5 @@
-// The platform's store, against the messages that its pages publish.
+// Tests the dialect of the platform's store against the messages in the
+// platform's published documentation.
 
 #include "platform/StoreDialect.h"
 
@@ -41,18 +42,18 @@
   CPPUNIT_TEST_SUITE(StoreDialectTest);
   CPPUNIT_TEST(readsTheConfiguration);
   CPPUNIT_TEST(reportsARouteThatNeverMatches);
-  CPPUNIT_TEST(leavesOutARouteThatIsWrong);
-  CPPUNIT_TEST(readsWhatServersBearAtFirst);
+  CPPUNIT_TEST(leavesOutAnUnreadableRoute);
+  CPPUNIT_TEST(readsWarmUpLimits);
   CPPUNIT_TEST(readsARegistration);
-  CPPUNIT_TEST(reportsFaultsWithTheirPlace);
+  CPPUNIT_TEST(reportsFaultsWithTheirPath);
   CPPUNIT_TEST(readsWhenAServerStarted);
-  CPPUNIT_TEST(namesNoServerWhereAnEntryCannotBeRead);
-  CPPUNIT_TEST(readsZonesThatAreDrained);
-  CPPUNIT_TEST(readsWhatItRecordedOfRoutes);
-  CPPUNIT_TEST(readsListsAndChanges);
-  CPPUNIT_TEST(passesOnWhatItRead);
-  CPPUNIT_TEST(survivesAnyValue);
-  CPPUNIT_TEST(writesItsCalls);
+  CPPUNIT_TEST(reportsUnreadableRegistrations);
+  CPPUNIT_TEST(readsDrainedZones);
+  CPPUNIT_TEST(roundTripsRouteHistory);
+  CPPUNIT_TEST(parsesListsAndWatchEvents);
+  CPPUNIT_TEST(roundTripsPages);
+  CPPUNIT_TEST(translatesAnyValueWithoutCrash);
+  CPPUNIT_TEST(buildsRegistryCalls);
   CPPUNIT_TEST(readsTheGeneration);
   CPPUNIT_TEST_SUITE_END();
 
@@ -66,15 +67,15 @@
     std::string text = Config;
     text.replace(text.find("\"safe\""), 6, '"' + type + '"');
     Findings findings;
-    ItemContent news = read("op/config", text, findings);
-    return std::get<token::RouteSet>(news).Routes[0];
+    ItemContent content = read("op/config", text, findings);
+    return std::get<token::RouteSet>(content).Routes[0];
   }
 
   void readsTheConfiguration() {
     Findings findings;
-    ItemContent news = read("op/config", Config, findings);
+    ItemContent content = read("op/config", Config, findings);
     expectEqual<std::string>("", findings.text());
-    const auto &routes = std::get<token::RouteSet>(news);
+    const auto &routes = std::get<token::RouteSet>(content);
     expectTrue(routes.Version == RuleVersion{7}, "version 7");
     expectTrue(routes.IdleTimeout == 15s, "idle for 15 s");
     expectEqual<size_t>(2, routes.Routes.size());
@@ -84,9 +85,11 @@
     expectEqual<size_t>(2, split.Services.size());
     expectTrue(split.Services[1].Service == serviceIdOf("wuno96b"), "a name");
     expectEqual<uint32_t>(10, split.Services[1].Weight);
-    expectTrue(split.Idempotent, "its requests may be repeated");
-    expectTrue(!readRouteOfType("unsafe").Idempotent, "these may not");
-    expectTrue(!readRouteOfType("").Idempotent, "nor may unknown ones");
+    expectTrue(split.Idempotent, "its requests may be retried");
+    expectTrue(!readRouteOfType("unsafe").Idempotent,
+               "requests of an unsafe route may not");
+    expectTrue(!readRouteOfType("").Idempotent,
+               "requests of a route of unknown type may not");
   }
 
   void reportsARouteThatNeverMatches() {
@@ -99,26 +102,25 @@
                              findings.text());
   }
 
-  // Symptom: one odd route, and no service is reached any more.
-  // Sequence: a configuration comes with a route that can't be read.
-  // Cause: the whole configuration refused for one part.
-  void leavesOutARouteThatIsWrong() {
+  // If one unreadable route made the whole configuration invalid, no service
+  // could be reached.
+  void leavesOutAnUnreadableRoute() {
     std::string text = Config;
     text.replace(text.find("198.18.0.1"), 10, "198.18.0.x");
     Findings findings;
-    ItemContent news = read("op/config", text, findings);
-    expectEqual<size_t>(1, std::get<token::RouteSet>(news).Routes.size());
+    ItemContent content = read("op/config", text, findings);
+    expectEqual<size_t>(1, std::get<token::RouteSet>(content).Routes.size());
     expectEqual<std::string>(
         "op/config.routes[0]: host: expected an IPv4 address\n",
         findings.text());
   }
 
-  void readsWhatServersBearAtFirst() {
+  void readsWarmUpLimits() {
     auto warmUpsOf = [](const std::string &services, Findings &findings) {
-      ItemContent news = read(
+      ItemContent content = read(
           "op/config",
           R"({"version":7,"routes":[],"services":)" + services + "}", findings);
-      return std::get<token::RouteSet>(news).WarmUps;
+      return std::get<token::RouteSet>(content).WarmUps;
     };
     Findings none;
     auto out = warmUpsOf(
@@ -129,9 +131,9 @@
                    out[0] == token::ServiceWarmUp{.Service = serviceIdOf("a"),
                                                   .Lasts = 2500ms,
                                                   .FlowsPerSecond = 0.5},
-               "the limit");
-    expectTrue(out[1].FlowsPerSecond == 0, "none where none is given");
-    section("one that can't be read harms no other", [&] {
+               "the warm-up limit");
+    expectTrue(out[1].FlowsPerSecond == 0, "no limit if none is given");
+    section("an unreadable service does not affect the others", [&] {
       Findings findings;
       auto rest =
           warmUpsOf(R"([7,{"name":"a","warmup_s":"x","warmup_per_s":-1},)"
@@ -139,37 +141,37 @@
                     findings);
       expectEqual<size_t>(3, findings.items().size());
       expectTrue(rest.back().FlowsPerSecond == 3 && rest.back().Lasts == 1h,
-                 "the other");
+                 "the limit of the readable service");
     });
   }
 
   void readsARegistration() {
     Findings findings;
-    ItemContent news = read("servers/i-7f3a91c2", Server, findings);
-    const auto &server = std::get<token::Registration>(news);
+    ItemContent content = read("servers/i-7f3a91c2", Server, findings);
+    const auto &server = std::get<token::Registration>(content);
     expectEqual<uint64_t>(0x7f3a91c2, server.Id.Value);
     expectTrue(server.Where == Address{.Ip = 0x0a800009, .Port = 8080},
                "its address");
     expectTrue(!server.Draining, "ready");
     expectEqual<uint32_t>(2, server.Slots);
-    expectTrue(server.WarmUpLeft == 700ms, "how long it stays slow");
-    section("nothing else changes with that", [&] {
+    expectTrue(server.WarmUpLeft == 700ms, "remaining warm-up time");
+    section("the remaining warm-up time changes no other field", [&] {
       Findings none;
       ItemContent warmer =
           read("servers/i-7f3a91c2", changed("700", "100"), none);
       auto later = std::get<token::Registration>(warmer);
-      expectTrue(later.WarmUpLeft == 100ms, "it counts down");
+      expectTrue(later.WarmUpLeft == 100ms, "the remaining time is lower");
       later.WarmUpLeft = 700ms;
-      expectTrue(later == server, "the same");
+      expectTrue(later == server, "all other fields are the same");
     });
-    section("it drains", [] {
+    section("a draining server", [] {
       std::string text = Server;
       text.replace(text.find("ready"), 5, "draining");
       Findings none;
       ItemContent leaving = read("servers/i-7f3a91c2", text, none);
       expectTrue(std::get<token::Registration>(leaving).Draining, "draining");
     });
-    section("it has ended", [] {
+    section("a deleted registration", [] {
       Findings none;
       ItemContent ended = Dialect.translate(
           {.Key = "servers/i-7f3a91c2", .Deleted = true}, none);
@@ -178,35 +180,35 @@
     });
   }
 
-  /// The sample with one text in place of another.
+  /// Returns the sample with one text replaced by another.
   static std::string changed(const std::string &from, const std::string &to) {
     std::string out = Server;
     return out.replace(out.find(from), from.size(), to);
   }
 
   void readsWhenAServerStarted() {
-    auto bornIn = [](const std::string &text) {
+    auto startTimeIn = [](const std::string &text) {
       Findings findings;
-      ItemContent news = read("servers/i-1", text, findings);
-      const auto *server = std::get_if<token::Registration>(&news);
+      ItemContent content = read("servers/i-1", text, findings);
+      const auto *server = std::get_if<token::Registration>(&content);
       return server ? server->StartedAtMs : -1;
     };
-    expectEqual<int64_t>(0, bornIn(Server));
-    expectEqual<int64_t>(1796256000123,
-                         bornIn(changed("}", R"(,"born":1796256000123})")));
-    section("what is no time names no server", [&] {
+    expectEqual<int64_t>(0, startTimeIn(Server));
+    expectEqual<int64_t>(
+        1796256000123, startTimeIn(changed("}", R"(,"born":1796256000123})")));
+    section("an invalid start time makes it unreadable", [&] {
       for (const char *born : {"1.5", "-1", "0", "\"1796256000123\"", "null",
                                "[]", "1e30", "99999999999999999999"})
         expectEqual<int64_t>(
-            -1, bornIn(changed("}", std::string(",\"born\":") + born + "}")));
+            -1,
+            startTimeIn(changed("}", std::string(",\"born\":") + born + "}")));
     });
   }
 
-  // Symptom: flows go to an address that no server ever gave, or the instance
-  // ends.
-  // Sequence: someone else writes under a server's key.
-  // Cause: parts of an entry believed where others can't be.
-  void namesNoServerWhereAnEntryCannotBeRead() {
+  // Another writer may put anything under a server's key. If the readable parts
+  // of such an entry were used, flows would go to an address that no server
+  // registered, or the instance would crash.
+  void reportsUnreadableRegistrations() {
     const std::vector<std::string> entries = {
         "",
         "{",
@@ -231,52 +233,55 @@
         changed("700", "\"soon\"")};
     for (const std::string &it : entries) {
       Findings findings;
-      ItemContent news = read("servers/i-7f", it, findings);
-      const auto *bad = std::get_if<RegistrationUnreadable>(&news);
+      ItemContent content = read("servers/i-7f", it, findings);
+      const auto *bad = std::get_if<RegistrationUnreadable>(&content);
       section(it.substr(0, 80), [&] {
-        expectTrue(bad && bad->Id.Value == 0x7f, "it is told of that server");
-        expectTrue(findings.text().starts_with("servers/i-7f: "), "its place");
+        expectTrue(bad && bad->Id.Value == 0x7f,
+                   "the registration is unreadable");
+        expectTrue(findings.text().starts_with("servers/i-7f: "),
+                   "the finding has its path");
       });
     }
     section("an id with more digits than a packet has room for", [] {
       Findings findings;
-      ItemContent news = read("servers/0123456789abcdef0", Server, findings);
-      expectTrue(std::holds_alternative<std::monostate>(news), "names nobody");
+      ItemContent content = read("servers/0123456789abcdef0", Server, findings);
+      expectTrue(std::holds_alternative<std::monostate>(content),
+                 "names no server");
     });
   }
 
-  void readsZonesThatAreDrained() {
+  void readsDrainedZones() {
     auto drainOf = [](const Item &item, Findings &findings) {
-      ItemContent news = Dialect.translate(item, findings);
-      const auto *out = std::get_if<ZoneDrain>(&news);
+      ItemContent content = Dialect.translate(item, findings);
+      const auto *out = std::get_if<ZoneDrain>(&content);
       return out ? *out : ZoneDrain{.Zone = "none"};
     };
     Findings none;
     expectTrue(drainOf({.Key = "op/evacuate/hall-a", .Value = "{}"}, none) ==
                    ZoneDrain{.Zone = "hall-a", .Active = true},
-               "the order");
+               "the drain is ordered");
     expectTrue(drainOf({.Key = "op/evacuate/hall-a", .Deleted = true}, none) ==
                    ZoneDrain{.Zone = "hall-a", .Active = false},
-               "its end");
+               "the drain has ended");
     expectTrue(none.empty(), none.text());
-    section("a value that can't be read is told, and the order holds", [&] {
+    section("an unreadable value is reported and the zone still drains", [&] {
       Findings findings;
       expectTrue(
           drainOf({.Key = "op/evacuate/hall-a", .Value = "["}, findings).Active,
           "drained");
       expectTrue(findings.text().starts_with("op/evacuate/hall-a: "),
-                 "its place");
+                 "the finding has its path");
     });
-    section("an order without a zone names none", [&] {
+    section("a key without a zone drains none", [&] {
       Findings findings;
       expectEqual<std::string>(
           "none",
           drainOf({.Key = "op/evacuate/", .Value = "{}"}, findings).Zone);
-      expectTrue(!findings.empty(), "it is told");
+      expectTrue(!findings.empty(), "it is reported");
     });
   }
 
-  void readsWhatItRecordedOfRoutes() {
+  void roundTripsRouteHistory() {
     const Address feed{.Ip = 0xc6120001, .Port = 443};
     RouteHistoryPart record{
         .Part = 3,
@@ -288,30 +293,31 @@
         R"("value":"eyIxOTguMTguMC4xOjQ0MyI6WzcsOV19","lease":0}],"remove":[]})",
         Dialect.writeRouteHistory({record}).Body);
     Findings findings;
-    ItemContent news =
+    ItemContent content =
         Dialect.translate({.Key = "chicorybank/routes/3",
                            .Value = R"({"198.18.0.1:443":[7,9]})",
                            .At = {.Revision = 12}},
                           findings);
-    expectTrue(std::get<RouteHistoryPart>(news) == record, "the same");
-    section("what can't be read says nothing, the rest holds", [] {
+    expectTrue(std::get<RouteHistoryPart>(content) == record,
+               "the part is the same");
+    section("unreadable entries are left out and reported", [] {
       Findings faults;
       ItemContent rest = Dialect.translate(
           {.Key = "chicorybank/routes/3",
            .Value = R"({"x":[1],"198.18.0.1:443":[7,-1,"9",1e30]})"},
           faults);
       expectEqual<size_t>(1, std::get<RouteHistoryPart>(rest).Pairs.size());
-      expectEqual<std::string>(
-          "chicorybank/routes/3: expected services by IP:port\n",
-          faults.text());
-      expectEqual<std::string>("chicorybank/routes/16: is no part of the "
-                               "record of routes\n",
+      expectEqual<std::string>("chicorybank/routes/3: expected a list of "
+                               "services for each IP:port\n",
+                               faults.text());
+      expectEqual<std::string>("chicorybank/routes/16: is not a part of the "
+                               "route history\n",
                                findingsOf("chicorybank/routes/16", "{}"));
     });
   }
 
-  void reportsFaultsWithTheirPlace() {
-    expectEqual<std::string>("op/config: is no JSON object\n",
+  void reportsFaultsWithTheirPath() {
+    expectEqual<std::string>("op/config: is not a JSON object\n",
                              findingsOf("op/config", "{"));
     expectEqual<std::string>("op/config: version: expected a positive number\n",
                              findingsOf("op/config", "{}"));
@@ -327,23 +333,23 @@
                              findingsOf("servers/i-1", text));
   }
 
-  void readsListsAndChanges() {
+  void parsesListsAndWatchEvents() {
     auto page = Dialect.parsePage(
         R"({"events":[{"key":"my/leader","value":"bm9kZS0x","revision":412,"created":410,"lease":77120},{"key":"my/old","revision":413,"deleted":true}],"store_revision":413})");
     expectTrue(page.has_value(), "it can be read");
     expectEqual<int64_t>(413, page->At.Revision);
     expectEqual<std::string>("node-1", page->Items[0].Value);
     expectEqual<int64_t>(410, page->Items[0].Created);
-    expectTrue(page->Items[1].Deleted, "the second has ended");
+    expectTrue(page->Items[1].Deleted, "the second is deleted");
     auto list = Dialect.parsePage(
         R"({"items":[],"has_more":true,"store_revision":530})");
     expectTrue(list && list->More && list->At.Revision == 530,
-               "a page of many");
+               "more pages follow");
     expectTrue(!Dialect.parsePage("{\"items\":[{}]}"), "an item without a key");
-    expectTrue(!Dialect.parsePage("<html>"), "no JSON");
+    expectTrue(!Dialect.parsePage("<html>"), "not JSON");
   }
 
-  void passesOnWhatItRead() {
+  void roundTripsPages() {
     ItemPage page{.Items = {{.Key = "servers/i-1",
                              .Value = std::string("a\0\xff\n", 4),
                              .At = {.Revision = 5},
@@ -357,8 +363,8 @@
                "the same items");
   }
 
-  void survivesAnyValue() {
-    property("any value of any key is read or reported", [] {
+  void translatesAnyValueWithoutCrash() {
+    property("translating any value of any key does not crash", [] {
       std::string key = *rc::gen::element<std::string>(
           "op/config", "servers/i-1", "chicorybank/instances/10.0.0.1");
       std::string value = *rc::gen::arbitrary<std::string>();
@@ -370,7 +376,7 @@
     });
   }
 
-  void writesItsCalls() {
+  void buildsRegistryCalls() {
     expectEqual<std::string>("/-/kv-range?prefix=",
                              Dialect.list("", edge::Freshness::Current).Target);
     expectEqual<std::string>(
