--- a/include/chicorybank/daemon/Daemon.h
+++ b/include/chicorybank/daemon/Daemon.h
@@ -17,7 +17,7 @@
 ///   Daemon daemon(settings);
 ///   if (auto started = daemon.start(); !started)
 ///     fail(started.error());
-///   daemon.run(stopAsked);
+///   daemon.run(stopRequested);
 class Daemon {
 public:
   explicit Daemon(Settings settings);
@@ -28,13 +28,13 @@
   /// Binds all addresses and starts the threads. Fails with a text for
   /// operators.
   tl::expected<void, std::string> start();
-  /// Runs the core on the calling thread. When `stopAsked` becomes true, a
+  /// Runs the core on the calling thread. When `stopRequested` becomes true, a
   /// planned stop begins; returns when it is complete.
-  void run(const std::atomic<bool> &stopAsked);
+  void run(const std::atomic<bool> &stopRequested);
 
 private:
-  class Shell;
-  std::unique_ptr<Shell> Impl;
+  class Implementation;
+  std::unique_ptr<Implementation> Impl;
 };
 
 } // namespace chicory
--- a/include/chicorybank/rules/RuleMatcher.h
+++ b/include/chicorybank/rules/RuleMatcher.h
@@ -60,7 +60,7 @@
 
   static std::vector<Entry> expand(const Rule &rule, uint32_t index);
   static Slot maskedKey(const Tuple &tuple, uint16_t index, const FlowKey &key);
-  uint16_t tupleFor(const Tuple &masks);
+  uint16_t findOrAddTuple(const Tuple &masks);
   void insert(const Slot &slot);
   size_t slotIndex(const Slot &key) const;
 
--- a/include/chicorybank/store/KeyValue.h
+++ b/include/chicorybank/store/KeyValue.h
@@ -25,7 +25,7 @@
   Unreachable, ///< It was not sent, or was refused before it had any effect.
   Unknown,     ///< The answer was lost: it may have taken effect.
   Limited,     ///< The service asks for fewer calls; it had no effect.
-  BadAnswer,   ///< The answer can't be read; it may have taken effect.
+  BadResponse, ///< The answer can't be read; it may have taken effect.
 };
 
 /// A word for logs and for operators.
@@ -79,7 +79,7 @@
 struct PlatformClientOptions {
   std::vector<Address> Servers;
   /// The source address, so that the platform's network can tell who calls.
-  uint32_t FromIp = 0;
+  uint32_t SourceIp = 0;
   Duration Timeout = std::chrono::seconds(2);
 };
 
--- a/include/chicorybank/store/RuleRegistry.h
+++ b/include/chicorybank/store/RuleRegistry.h
@@ -66,9 +66,9 @@
   PlatformResult<std::vector<RuleManifest>> history();
   /// Writes a rule set that was in force, pages and all, where the service has
   /// lost it and still shows the older `stored` one. True: it stands there now.
-  PlatformResult<bool> putBack(const RuleManifest &stored,
-                               const RuleManifest &manifest,
-                               const PageStore &pages);
+  PlatformResult<bool> restoreVersion(const RuleManifest &stored,
+                                      const RuleManifest &manifest,
+                                      const PageStore &pages);
   /// The current rule set was accepted under a version number that had been
   /// given out before. It gets the next number after `highest`. True: it did.
   PlatformResult<bool> renumber(const RuleManifest &current,
@@ -88,8 +88,8 @@
   PlatformResult<bool> replaceManifest(const RuleManifest &next,
                                        int64_t expected,
                                        std::vector<KeyValuePut> puts);
-  std::optional<SubmitOutcome> findEarlier(const std::string &submissionId);
-  void forgetOld(RuleVersion newest);
+  std::optional<SubmitOutcome> findAccepted(const std::string &submissionId);
+  void removeOldVersions(RuleVersion newest);
 
   KeyValueService &Service;
 };
--- a/lib/daemon/Admin.cpp
+++ b/lib/daemon/Admin.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr auto AskTimeout = std::chrono::seconds(1);
+constexpr auto CoreTimeout = std::chrono::seconds(1);
 constexpr int StatusBadRequest = 400;
 constexpr int StatusUnavailable = 503;
 
@@ -123,8 +123,8 @@
 } // namespace
 
 AdminServer::AdminServer(Address listen, CoreRings &rings,
-                         const ShellCounters &counters, const Journal &journal,
-                         std::function<ShellFigures()> figures)
+                         const WorkerCounters &counters, const Journal &journal,
+                         std::function<WorkerStats()> figures)
     : Listen(listen), Rings(rings), Counters(counters), Events(journal),
       Figures(std::move(figures)), Server(std::make_unique<httplib::Server>()) {
 }
@@ -133,30 +133,30 @@
 
 template <typename Result>
 std::optional<Result>
-AdminServer::ask(std::function<Result(Core &, Time)> question) {
+AdminServer::runOnCore(std::function<Result(Core &, Time)> task) {
   auto promise = std::make_shared<std::promise<Result>>();
-  std::future<Result> answer = promise->get_future();
+  std::future<Result> result = promise->get_future();
   {
     std::lock_guard lock(Rings.TaskLock);
     bool queued = Rings.AdminTasks.try_enqueue(
-        [promise, question = std::move(question)](Core &core, Time now) {
-          promise->set_value(question(core, now));
+        [promise, task = std::move(task)](Core &core, Time now) {
+          promise->set_value(task(core, now));
         });
     if (!queued)
       return std::nullopt;
   }
-  if (answer.wait_for(AskTimeout) != std::future_status::ready)
+  if (result.wait_for(CoreTimeout) != std::future_status::ready)
     return std::nullopt;
-  return answer.get();
+  return result.get();
 }
 
 void AdminServer::addRoutes() {
-  auto json = [this](auto question) {
-    return [this, question](const httplib::Request & /*request*/,
-                            httplib::Response &response) {
-      auto answer = ask<QJsonObject>(question);
-      if (answer)
-        reply(response, *answer);
+  auto json = [this](auto task) {
+    return [this, task](const httplib::Request & /*request*/,
+                        httplib::Response &response) {
+      auto result = runOnCore<QJsonObject>(task);
+      if (result)
+        reply(response, *result);
       else
         fail(response, StatusUnavailable, "the core did not answer");
     };
@@ -169,12 +169,12 @@
     if (!flow)
       return fail(response, StatusBadRequest,
                   "flow: expected IP:port,IP:port,protocol");
-    auto answer = ask<QJsonObject>([flow](Core &core, Time now) {
+    auto result = runOnCore<QJsonObject>([flow](Core &core, Time now) {
       return explanationJson(core.explain(*flow, now));
     });
-    if (!answer)
+    if (!result)
       return fail(response, StatusUnavailable, "the core did not answer");
-    reply(response, *answer);
+    reply(response, *result);
   });
   Server->Get("/events", [this](const httplib::Request & /*request*/,
                                 httplib::Response &response) {
@@ -187,7 +187,8 @@
   });
   Server->Get("/metrics", [this](const httplib::Request & /*request*/,
                                  httplib::Response &response) {
-    auto stats = ask<CoreStats>([](Core &core, Time) { return core.stats(); });
+    auto stats =
+        runOnCore<CoreStats>([](Core &core, Time) { return core.stats(); });
     if (!stats)
       return fail(response, StatusUnavailable, "the core did not answer");
     response.set_content(renderMetrics(*stats, Counters, Figures()),
--- a/lib/daemon/Admin.h
+++ b/lib/daemon/Admin.h
@@ -17,18 +17,18 @@
 namespace chicory {
 
 /// Figures of the threads around the core.
-struct ShellFigures {
+struct WorkerStats {
   uint64_t ControlBytes = 0;
   uint64_t PlatformCalls = 0;
-  uint64_t PlatformFailuresInRow = 0;
+  uint64_t ConsecutivePlatformFailures = 0;
   bool Watching = false;
 };
 
 /// Serves /metrics, /status, /explain, /targets and /events.
 class AdminServer {
 public:
-  AdminServer(Address listen, CoreRings &rings, const ShellCounters &counters,
-              const Journal &journal, std::function<ShellFigures()> figures);
+  AdminServer(Address listen, CoreRings &rings, const WorkerCounters &counters,
+              const Journal &journal, std::function<WorkerStats()> figures);
   ~AdminServer();
 
   /// Fails with a text for operators.
@@ -37,15 +37,15 @@
 
 private:
   template <typename Result>
-  std::optional<Result> ask(std::function<Result(Core &, Time)> question);
+  std::optional<Result> runOnCore(std::function<Result(Core &, Time)> task);
   void addRoutes();
   std::string metrics();
 
   Address Listen;
   CoreRings &Rings;
-  const ShellCounters &Counters;
+  const WorkerCounters &Counters;
   const Journal &Events;
-  std::function<ShellFigures()> Figures;
+  std::function<WorkerStats()> Figures;
   std::unique_ptr<httplib::Server> Server;
   std::thread Worker;
 };
--- a/lib/daemon/Daemon.cpp
+++ b/lib/daemon/Daemon.cpp
@@ -2,8 +2,8 @@
 
 #include "Admin.h"
 #include "Journal.h"
-#include "PacketEdge.h"
-#include "PlatformDuty.h"
+#include "PacketIo.h"
+#include "PlatformWorker.h"
 
 #include "chicorybank/base/Clock.h"
 #include "chicorybank/core/Rendezvous.h"
@@ -25,12 +25,12 @@
 } // namespace
 
 /// All parts of a daemon, and the visitor that carries out actions.
-class Daemon::Shell {
+class Daemon::Implementation {
 public:
-  explicit Shell(Settings settings);
+  explicit Implementation(Settings settings);
 
   tl::expected<void, std::string> start();
-  void run(const std::atomic<bool> &stopAsked);
+  void run(const std::atomic<bool> &stopRequested);
 
   // The visitor of actions.
   void operator()(const SendPacket &action);
@@ -40,13 +40,13 @@
     Peers.send(action.To, action.Message);
   }
   void operator()(const PullRules &action) {
-    Peers.send(action.From, Store.request(Config.Self));
+    Peers.send(action.From, Store.makeRequest(Config.Self));
   }
   void operator()(const WriteMembers &action) {
     Platform.write(action.Document);
   }
   void operator()(const LogEvent &action) {
-    Events.note(action.Event, action.Detail);
+    Events.record(action.Event, action.Detail);
   }
   void operator()(const SafeToStop & /*action*/) { Done = true; }
 
@@ -54,15 +54,15 @@
   CoreOptions coreOptions();
   TransportCallbacks callbacks();
   void handle(const Event &event);
-  void carryOut();
-  void onControl(ControlMessage message);
+  void executeActions();
+  void handleControlMessage(ControlMessage message);
   void pushPeerEvent(Event event);
   void learnFromPeer(const RuleDocument &document);
   void drainRings();
-  void chooseWatcher();
+  void updateWatching();
   void checkControlBudget();
   bool withinBudget() const { return BytesThisSecond <= ControlBurstBytes; }
-  ShellFigures figures() const;
+  WorkerStats figures() const;
 
   /// A pull of rules may burst above the rate; what is above this waits.
   static constexpr uint64_t ControlBurstBytes = 1 << 20;
@@ -70,14 +70,14 @@
   Settings Config;
   PeerKey Key;
   CoreRings Rings;
-  ShellCounters Counters;
+  WorkerCounters Counters;
   Journal Events;
   RuleStore Store;
   FileDescriptor Socket;
   PacketReceiver Receiver;
   PacketSender Sender;
   Transport Peers;
-  PlatformDuty Platform;
+  PlatformWorker Platform;
   AdminServer Admin;
   Core Decisions;
   Actions Pending;
@@ -89,7 +89,7 @@
   bool Done = false;
 };
 
-Daemon::Shell::Shell(Settings settings)
+Daemon::Implementation::Implementation(Settings settings)
     : Config(std::move(settings)), Key(Config.PeerSecret),
       Events(Config.Self.Id.Value, Config.LogLevel),
       Receiver(Socket, Key, Rings, Counters), Sender(Socket),
@@ -100,7 +100,7 @@
             [this] { return figures(); }),
       Decisions(coreOptions(), bootTimeNow()) {}
 
-CoreOptions Daemon::Shell::coreOptions() {
+CoreOptions Daemon::Implementation::coreOptions() {
   std::random_device random;
   CoreOptions out = Config.Core;
   out.Self = Config.Self;
@@ -110,20 +110,22 @@
   return out;
 }
 
-TransportCallbacks Daemon::Shell::callbacks() {
-  return {.Message = [this](ControlMessage it) { onControl(std::move(it)); },
-          .Refused =
-              [this](InstanceId id) { pushPeerEvent(PeerRefused{.Peer = id}); },
-          .Fault = [this](Reason why) { Counters.refuse(why); }};
+TransportCallbacks Daemon::Implementation::callbacks() {
+  return {
+      .Message =
+          [this](ControlMessage it) { handleControlMessage(std::move(it)); },
+      .Refused =
+          [this](InstanceId id) { pushPeerEvent(PeerRefused{.Peer = id}); },
+      .Fault = [this](Reason why) { Counters.refuse(why); }};
 }
 
-void Daemon::Shell::pushPeerEvent(Event event) {
+void Daemon::Implementation::pushPeerEvent(Event event) {
   if (!Rings.Peers.try_enqueue(std::move(event)))
     Counters.refuse(Reason::RingFull);
 }
 
 // Runs on the peers' thread.
-void Daemon::Shell::onControl(ControlMessage message) {
+void Daemon::Implementation::handleControlMessage(ControlMessage message) {
   if (auto *heartbeat = std::get_if<Heartbeat>(&message))
     return pushPeerEvent(HeartbeatArrived{.Message = std::move(*heartbeat)});
   if (auto *document = std::get_if<RuleDocument>(&message))
@@ -133,7 +135,7 @@
   std::lock_guard lock(Rings.TaskLock);
   bool queued = Rings.AdminTasks.try_enqueue([this, request](Core &, Time) {
     if (withinBudget())
-      Peers.send(request.Sender, Store.answer(request));
+      Peers.send(request.Sender, Store.documentFor(request));
     else
       Counters.refuse(Reason::ControlBudget);
   });
@@ -142,7 +144,7 @@
 }
 
 // Runs on the peers' thread: rule sets are compiled there, not on the core's.
-void Daemon::Shell::learnFromPeer(const RuleDocument &document) {
+void Daemon::Implementation::learnFromPeer(const RuleDocument &document) {
   auto rules = Store.learn(document.Manifest, document.Pages);
   if (!rules)
     Counters.refuse(Reason::BadPeerMessage);
@@ -150,7 +152,7 @@
     pushPeerEvent(RulesLearned{.Rules = *rules});
 }
 
-tl::expected<void, std::string> Daemon::Shell::start() {
+tl::expected<void, std::string> Daemon::Implementation::start() {
   auto socket = bindUdp(Config.ListenPackets);
   if (!socket)
     return tl::make_unexpected(socket.error());
@@ -162,28 +164,28 @@
   Receiver.start();
   Platform.start();
   handle(InstancesDiscovered{.Instances = Config.Seeds});
-  Events.note("started", formatAddress(Config.ListenPackets));
+  Events.record("started", formatAddress(Config.ListenPackets));
   return {};
 }
 
-void Daemon::Shell::handle(const Event &event) {
+void Daemon::Implementation::handle(const Event &event) {
   Decisions.handle(event, bootTimeNow(), Pending);
-  carryOut();
+  executeActions();
 }
 
-void Daemon::Shell::carryOut() {
+void Daemon::Implementation::executeActions() {
   for (const Action &it : Pending)
     std::visit(*this, it);
   Pending.clear();
 }
 
-void Daemon::Shell::operator()(const SendPacket &action) {
+void Daemon::Implementation::operator()(const SendPacket &action) {
   Sender.add(action.To.value_or(Config.Fabric),
              action.Datagram.isEmpty() ? encodePacket(action.Content)
                                        : action.Datagram);
 }
 
-void Daemon::Shell::operator()(const ForwardPacket &action) {
+void Daemon::Implementation::operator()(const ForwardPacket &action) {
   const Peer *peer = Decisions.membership().find(action.To);
   if (peer == nullptr)
     return Counters.refuse(Reason::PeerUnreachable);
@@ -193,7 +195,7 @@
              encodePeerDatagram(message, Config.Self.Id, Key));
 }
 
-void Daemon::Shell::operator()(const SendQuery &action) {
+void Daemon::Implementation::operator()(const SendQuery &action) {
   const Peer *peer = Decisions.membership().find(action.To);
   if (peer == nullptr)
     return Counters.refuse(Reason::PeerUnreachable);
@@ -203,9 +205,10 @@
              encodePeerDatagram(message, Config.Self.Id, Key));
 }
 
-void Daemon::Shell::drainRings() {
+void Daemon::Implementation::drainRings() {
   Event event = Tick{};
-  for (auto *ring : {&Rings.Peers, &Rings.PlatformWatch, &Rings.PlatformCalls})
+  for (auto *ring :
+       {&Rings.Peers, &Rings.PlatformReader, &Rings.PlatformWriter})
     while (ring->try_dequeue(event))
       handle(event);
   CoreTask task;
@@ -213,7 +216,7 @@
     task(Decisions, bootTimeNow());
 }
 
-void Daemon::Shell::run(const std::atomic<bool> &stopAsked) {
+void Daemon::Implementation::run(const std::atomic<bool> &stopRequested) {
   EventBatch batch;
   bool stopping = false;
   while (!Done) {
@@ -223,11 +226,11 @@
       Time now = bootTimeNow();
       for (const Event &it : batch)
         Decisions.handle(it, now, Pending);
-      carryOut();
+      executeActions();
       got = ++batches < BatchesPerTurn && Rings.Packets.try_dequeue(batch);
     }
     drainRings();
-    if (stopAsked && !stopping) {
+    if (stopRequested && !stopping) {
       stopping = true;
       handle(StopRequested{});
     }
@@ -238,7 +241,7 @@
     }
     if (now >= NextWatchCheck) {
       NextWatchCheck = now + WatchCheckInterval;
-      chooseWatcher();
+      updateWatching();
       checkControlBudget();
     }
     Sender.flush();
@@ -247,11 +250,11 @@
   Platform.stop();
   Admin.stop();
   Peers.stop();
-  Events.note("stopped", "");
+  Events.record("stopped", "");
   Events.stop();
 }
 
-void Daemon::Shell::chooseWatcher() {
+void Daemon::Implementation::updateWatching() {
   // The same rule on each instance of a zone, so no leader has to be chosen.
   // Where they see each other differently, one more or one fewer watches.
   const Membership &members = Decisions.membership();
@@ -268,29 +271,31 @@
   Platform.setWatching(Watching);
 }
 
-void Daemon::Shell::checkControlBudget() {
+void Daemon::Implementation::checkControlBudget() {
   uint64_t bytes = Peers.bytesSent();
   BytesThisSecond = bytes - BytesBefore;
   BytesBefore = bytes;
   if (BytesThisSecond <= Config.ControlBytesPerSecond)
     return;
   Counters.refuse(Reason::ControlBudget);
-  Events.note("control_budget_exceeded", std::to_string(BytesThisSecond));
+  Events.record("control_budget_exceeded", std::to_string(BytesThisSecond));
 }
 
-ShellFigures Daemon::Shell::figures() const {
+WorkerStats Daemon::Implementation::figures() const {
   return {.ControlBytes = Peers.bytesSent(),
           .PlatformCalls = Platform.calls(),
-          .PlatformFailuresInRow = Platform.failuresInRow(),
+          .ConsecutivePlatformFailures = Platform.consecutiveFailures(),
           .Watching = Watching};
 }
 
 Daemon::Daemon(Settings settings)
-    : Impl(std::make_unique<Shell>(std::move(settings))) {}
+    : Impl(std::make_unique<Implementation>(std::move(settings))) {}
 Daemon::~Daemon() = default;
 
 tl::expected<void, std::string> Daemon::start() { return Impl->start(); }
 
-void Daemon::run(const std::atomic<bool> &stopAsked) { Impl->run(stopAsked); }
+void Daemon::run(const std::atomic<bool> &stopRequested) {
+  Impl->run(stopRequested);
+}
 
 } // namespace chicory
--- a/lib/daemon/Journal.cpp
+++ b/lib/daemon/Journal.cpp
@@ -40,7 +40,7 @@
   Worker = std::thread([this] { run(); });
 }
 
-void Journal::note(std::string event, std::string detail) {
+void Journal::record(std::string event, std::string detail) {
   (void)Ring.try_enqueue({.AtMs = wallMs(),
                           .Event = std::move(event),
                           .Detail = std::move(detail)});
@@ -73,19 +73,19 @@
   {
     std::lock_guard lock(Lock);
     Entries.push_back(entry);
-    if (Entries.size() > Kept)
+    if (Entries.size() > MaxEntries)
       Entries.pop_front();
   }
-  Repeats &repeats = Seen[entry.Event];
+  LineCount &count = LineCounts[entry.Event];
   int64_t second = entry.AtMs / MsPerSecond;
-  if (second != repeats.Second) {
-    if (repeats.LeftOut > 0)
+  if (second != count.Second) {
+    if (count.Suppressed > 0)
       LOG(WARNING) << "instance=" << Instance << " event=" << entry.Event
-                   << " left_out=" << repeats.LeftOut;
-    repeats = {.Second = second};
+                   << " left_out=" << count.Suppressed;
+    count = {.Second = second};
   }
-  if (++repeats.Written > LinesPerSecond) {
-    ++repeats.LeftOut;
+  if (++count.Written > LinesPerSecond) {
+    ++count.Suppressed;
     return;
   }
   LOG(INFO) << "instance=" << Instance << " event=" << entry.Event
--- a/lib/daemon/Journal.h
+++ b/lib/daemon/Journal.h
@@ -35,21 +35,21 @@
   ~Journal() { stop(); }
 
   /// Notes an event; only the core's thread may call it. A full ring drops it.
-  void note(std::string event, std::string detail);
+  void record(std::string event, std::string detail);
   /// The last events, the oldest first.
   std::vector<JournalEntry> recent() const;
   void stop();
 
 private:
   static constexpr size_t RingSize = 4096;
-  static constexpr size_t Kept = 1000;
+  static constexpr size_t MaxEntries = 1000;
   /// Lines of one kind that are written in a second; the rest is counted.
   static constexpr uint32_t LinesPerSecond = 20;
 
-  struct Repeats {
+  struct LineCount {
     int64_t Second = 0;
     uint32_t Written = 0;
-    uint32_t LeftOut = 0;
+    uint32_t Suppressed = 0;
   };
 
   void run();
@@ -57,7 +57,7 @@
 
   uint32_t Instance;
   moodycamel::ReaderWriterQueue<JournalEntry> Ring{RingSize};
-  std::map<std::string, Repeats> Seen;
+  std::map<std::string, LineCount> LineCounts;
   mutable std::mutex Lock;
   std::deque<JournalEntry> Entries;
   std::atomic<bool> Stopping = false;
--- a/lib/daemon/Metrics.cpp
+++ b/lib/daemon/Metrics.cpp
@@ -52,7 +52,7 @@
 }
 
 void addCounters(std::vector<MetricFamily> &out, const CoreStats &core,
-                 const ShellCounters &shell, const ShellFigures &figures) {
+                 const WorkerCounters &shell, const WorkerStats &figures) {
   out.push_back(
       byReason("chicory_refusals_total", "Refused, by reason; docs/REASONS.md",
                [&](size_t i) { return core.Refusals[i] + shell.Refusals[i]; }));
@@ -94,7 +94,7 @@
 }
 
 void addGauges(std::vector<MetricFamily> &out, const CoreStats &core,
-               const ShellFigures &figures) {
+               const WorkerStats &figures) {
   auto number = [](auto value) { return static_cast<double>(value); };
   out.push_back(
       gauge("chicory_flows", "Flows pinned here", number(core.FlowsNow)));
@@ -114,15 +114,15 @@
                       core.HoldsLease ? 1 : 0));
   out.push_back(gauge("chicory_store_failures_in_row",
                       "Failed calls since the last good one",
-                      number(figures.PlatformFailuresInRow)));
+                      number(figures.ConsecutivePlatformFailures)));
   out.push_back(gauge("chicory_store_watching", "1 for a zone's watcher",
                       figures.Watching ? 1 : 0));
 }
 
 } // namespace
 
-std::string renderMetrics(const CoreStats &core, const ShellCounters &shell,
-                          const ShellFigures &figures) {
+std::string renderMetrics(const CoreStats &core, const WorkerCounters &shell,
+                          const WorkerStats &figures) {
   std::vector<MetricFamily> out;
   addCounters(out, core, shell, figures);
   addGauges(out, core, figures);
--- a/lib/daemon/Metrics.h
+++ b/lib/daemon/Metrics.h
@@ -11,8 +11,8 @@
 
 /// All metrics. Each refusal and retry reason has a counter from the start,
 /// so that an alert on its rate works before it first occurs.
-std::string renderMetrics(const CoreStats &core, const ShellCounters &shell,
-                          const ShellFigures &figures);
+std::string renderMetrics(const CoreStats &core, const WorkerCounters &shell,
+                          const WorkerStats &figures);
 
 } // namespace chicory
 
--- a/lib/daemon/PacketEdge.cpp
+++ b/lib/daemon/PacketIo.cpp
@@ -1,4 +1,4 @@
-#include "PacketEdge.h"
+#include "PacketIo.h"
 
 #include <array>
 #include <poll.h>
@@ -14,7 +14,7 @@
 constexpr size_t DatagramRoom = 2048;
 constexpr int PollTimeoutMs = 100;
 
-bool passesUntouched(PacketKind kind) {
+bool needsHeadOnly(PacketKind kind) {
   return kind == PacketKind::Data || kind == PacketKind::Open ||
          kind == PacketKind::Close;
 }
@@ -29,7 +29,7 @@
   out.Content.Kind = head->Kind;
   out.Content.ToCaller = head->ToCaller;
   out.Content.Flow = head->Flow;
-  if (!passesUntouched(head->Kind)) {
+  if (!needsHeadOnly(head->Kind)) {
     tl::expected<Packet, Reason> whole = decodePacket(datagram);
     if (!whole)
       return tl::make_unexpected(whole.error());
@@ -56,13 +56,13 @@
     return Event(QueryArrived{.Message = *query});
   if (const auto *reply = std::get_if<FlowReply>(&*message))
     return Event(QueryArrived{.Message = *reply});
-  auto passedOn = std::get<ForwardedPacketArrived>(std::move(*message));
-  auto inner =
-      decodeInFlight(std::move(passedOn.Packet.Datagram), passedOn.Packet.From);
+  auto forwarded = std::get<ForwardedPacketArrived>(std::move(*message));
+  auto inner = decodeInFlight(std::move(forwarded.Packet.Datagram),
+                              forwarded.Packet.From);
   if (!inner)
     return tl::make_unexpected(inner.error());
-  passedOn.Packet = std::move(*inner);
-  return Event(std::move(passedOn));
+  forwarded.Packet = std::move(*inner);
+  return Event(std::move(forwarded));
 }
 
 void PacketReceiver::start() {
--- a/lib/daemon/PacketEdge.h
+++ b/lib/daemon/PacketIo.h
@@ -3,8 +3,8 @@
 // This is the one module that knows both the wire format of packets and the
 // socket. Another framing replaces this module; the core does not see it.
 
-#ifndef CHICORYBANK_LIB_DAEMON_PACKETEDGE_H
-#define CHICORYBANK_LIB_DAEMON_PACKETEDGE_H
+#ifndef CHICORYBANK_LIB_DAEMON_PACKETIO_H
+#define CHICORYBANK_LIB_DAEMON_PACKETIO_H
 
 #include "Rings.h"
 
@@ -24,7 +24,7 @@
 class PacketReceiver {
 public:
   PacketReceiver(const FileDescriptor &socket, const PeerKey &key,
-                 CoreRings &rings, ShellCounters &counters)
+                 CoreRings &rings, WorkerCounters &counters)
       : Socket(socket), Key(key), Rings(rings), Counters(counters) {}
   ~PacketReceiver() { stop(); }
 
@@ -37,7 +37,7 @@
   const FileDescriptor &Socket;
   const PeerKey &Key;
   CoreRings &Rings;
-  ShellCounters &Counters;
+  WorkerCounters &Counters;
   std::atomic<bool> Stopping = false;
   std::thread Worker;
 };
--- a/lib/daemon/PlatformDuty.cpp
+++ b/lib/daemon/PlatformWorker.cpp
@@ -1,4 +1,4 @@
-#include "PlatformDuty.h"
+#include "PlatformWorker.h"
 
 #include <easylogging++.h>
 #include <random>
@@ -8,33 +8,33 @@
 namespace {
 
 constexpr Duration PauseStep = std::chrono::milliseconds(50);
-constexpr Duration RetryLeast = std::chrono::milliseconds(200);
-constexpr Duration RetryMost = std::chrono::seconds(5);
+constexpr Duration RetryMin = std::chrono::milliseconds(200);
+constexpr Duration RetryMax = std::chrono::seconds(5);
 constexpr uint64_t MaxDoublings = 5;
 
 /// Doubles with each failure, with jitter: after an outage of the platform all
 /// instances come back, and must not come in step.
 Duration backOff(uint64_t failures) {
   static thread_local std::minstd_rand random(std::random_device{}());
-  Duration base = RetryLeast * (1 << std::min(failures, MaxDoublings));
-  Duration capped = std::min(base, Duration(RetryMost));
+  Duration base = RetryMin * (1 << std::min(failures, MaxDoublings));
+  Duration capped = std::min(base, Duration(RetryMax));
   return capped / 2 + Duration(random() % capped.count());
 }
 
 } // namespace
 
-PlatformDuty::PlatformDuty(const Settings &settings, RuleStore &store,
-                           CoreRings &rings, ShellCounters &counters)
+PlatformWorker::PlatformWorker(const Settings &settings, RuleStore &store,
+                               CoreRings &rings, WorkerCounters &counters)
     : Config(settings), Store(store), Rings(rings), Counters(counters),
       Reader(makePlatformClient(settings.Platform)),
       Writer(makePlatformClient(settings.Platform)) {}
 
-void PlatformDuty::start() {
+void PlatformWorker::start() {
   ReaderThread = std::thread([this] { runReader(); });
   WriterThread = std::thread([this] { runWriter(); });
 }
 
-void PlatformDuty::stop() {
+void PlatformWorker::stop() {
   if (Stopping.exchange(true))
     return;
   Reader->interrupt();
@@ -45,12 +45,12 @@
     WriterThread.join();
 }
 
-void PlatformDuty::pause(Duration length) {
+void PlatformWorker::pause(Duration length) {
   for (Duration done{}; done < length && !Stopping; done += PauseStep)
     std::this_thread::sleep_for(PauseStep);
 }
 
-void PlatformDuty::runReader() {
+void PlatformWorker::runReader() {
   while (!Stopping) {
     bool ok = readAll();
     if (ok && Watching)
@@ -63,7 +63,7 @@
   }
 }
 
-bool PlatformDuty::readAll() {
+bool PlatformWorker::readAll() {
   ++Calls;
   auto instances = Reader->list(keys::Instances);
   if (!instances)
@@ -76,7 +76,7 @@
     else
       Counters.refuse(info.error());
   }
-  if (!Rings.PlatformWatch.try_enqueue(named))
+  if (!Rings.PlatformReader.try_enqueue(named))
     Counters.refuse(Reason::RingFull);
   for (const char *key : {keys::Members, keys::Manifest}) {
     ++Calls;
@@ -84,29 +84,29 @@
     if (!found)
       return false;
     for (const KeyValue &it : *found)
-      take(it, *Reader);
+      apply(it, *Reader);
   }
   return true;
 }
 
-bool PlatformDuty::watchOnce() {
+bool PlatformWorker::watchOnce() {
   ++Calls;
   auto changed = [this](const KeyValue &change) {
-    take(change, *Reader);
+    apply(change, *Reader);
     return !Stopping && Watching;
   };
   return Reader->watch(keys::Root, changed).has_value();
 }
 
-void PlatformDuty::take(const KeyValue &change, KeyValueService &service) {
+void PlatformWorker::apply(const KeyValue &change, KeyValueService &service) {
   if (change.Key == keys::Manifest)
-    takeManifest(change.Value, service);
+    applyManifest(change.Value, service);
   else if (change.Key == keys::Members)
-    takeMembers(change.Value, Rings.PlatformWatch);
+    applyMembers(change.Value, Rings.PlatformReader);
 }
 
-void PlatformDuty::takeManifest(const QByteArray &value,
-                                KeyValueService &service) {
+void PlatformWorker::applyManifest(const QByteArray &value,
+                                   KeyValueService &service) {
   auto manifest = decodeManifest(value);
   if (!manifest)
     return Counters.refuse(manifest.error());
@@ -119,23 +119,25 @@
   auto rules = Store.learn(*manifest, pages);
   if (!rules)
     return Counters.refuse(rules.error());
-  if (*rules && !Rings.PlatformWatch.try_enqueue(RulesLearned{.Rules = *rules}))
+  if (*rules &&
+      !Rings.PlatformReader.try_enqueue(RulesLearned{.Rules = *rules}))
     Counters.refuse(Reason::RingFull);
 }
 
 /// Rules that were accepted stay in force, and stay stored, where the platform
 /// was restored from an older copy. What is written here is read again by the
 /// watch; of several watchers the first one's write holds.
-void PlatformDuty::repairRules(const RuleManifest &stored,
-                               KeyValueService &service) {
+void PlatformWorker::repairRules(const RuleManifest &stored,
+                                 KeyValueService &service) {
   StoredRules state = Store.compare(stored);
   if (state == StoredRules::Current || !Watching)
     return;
   ++Calls;
   RuleRegistry registry(service);
-  auto done = state == StoredRules::Lost
-                  ? registry.putBack(stored, Store.manifest(), Store.pages())
-                  : registry.renumber(stored, Store.version());
+  auto done =
+      state == StoredRules::Lost
+          ? registry.restoreVersion(stored, Store.manifest(), Store.pages())
+          : registry.renumber(stored, Store.version());
   if (!done)
     LOG(WARNING) << "event=rules_not_repaired version=" << stored.Version.Value
                  << " why=" << platformErrorName(done.error());
@@ -145,8 +147,8 @@
               << (state == StoredRules::Lost ? "lost" : "number_reused");
 }
 
-void PlatformDuty::takeMembers(const QByteArray &value,
-                               moodycamel::ReaderWriterQueue<Event> &ring) {
+void PlatformWorker::applyMembers(const QByteArray &value,
+                                  moodycamel::ReaderWriterQueue<Event> &ring) {
   auto document = decodeMembers(value);
   if (!document)
     return Counters.refuse(document.error());
@@ -154,26 +156,26 @@
     Counters.refuse(Reason::RingFull);
 }
 
-void PlatformDuty::write(const MembersDocument &document) {
+void PlatformWorker::write(const MembersDocument &document) {
   std::lock_guard lock(WriteLock);
-  ToWrite = document;
+  PendingWrite = document;
 }
 
-void PlatformDuty::runWriter() {
+void PlatformWorker::runWriter() {
   while (!Stopping) {
     std::optional<MembersDocument> document;
     {
       std::lock_guard lock(WriteLock);
-      document.swap(ToWrite);
+      document.swap(PendingWrite);
     }
     if (document)
-      writeNow(*document);
+      writeMembers(*document);
     else
       pause(PauseStep);
   }
 }
 
-void PlatformDuty::writeNow(const MembersDocument &document) {
+void PlatformWorker::writeMembers(const MembersDocument &document) {
   ++Calls;
   auto found = Writer->get(keys::Members);
   if (!found)
@@ -199,7 +201,7 @@
   ++Calls;
   auto now = Writer->get(keys::Members);
   if (now && !now->empty())
-    takeMembers(now->front().Value, Rings.PlatformCalls);
+    applyMembers(now->front().Value, Rings.PlatformWriter);
 }
 
 } // namespace chicory
--- a/lib/daemon/PlatformDuty.h
+++ b/lib/daemon/PlatformWorker.h
@@ -1,7 +1,7 @@
 // The two threads that talk to the platform: one reads and watches, one writes.
 
-#ifndef CHICORYBANK_LIB_DAEMON_PLATFORMDUTY_H
-#define CHICORYBANK_LIB_DAEMON_PLATFORMDUTY_H
+#ifndef CHICORYBANK_LIB_DAEMON_PLATFORMWORKER_H
+#define CHICORYBANK_LIB_DAEMON_PLATFORMWORKER_H
 
 #include "Rings.h"
 #include "RuleStore.h"
@@ -18,11 +18,11 @@
 /// A waiting watch counts as a call of the platform, so only few instances of
 /// a zone watch (`setWatching`); the others hear of changes from these by
 /// heartbeat, and read the platform now and then in case they do not.
-class PlatformDuty {
+class PlatformWorker {
 public:
-  PlatformDuty(const Settings &settings, RuleStore &store, CoreRings &rings,
-               ShellCounters &counters);
-  ~PlatformDuty() { stop(); }
+  PlatformWorker(const Settings &settings, RuleStore &store, CoreRings &rings,
+                 WorkerCounters &counters);
+  ~PlatformWorker() { stop(); }
 
   void start();
   void stop();
@@ -31,7 +31,7 @@
   /// Asks for a write; replaces one that has not begun.
   void write(const MembersDocument &document);
   /// How many calls failed since the last that did not.
-  uint64_t failuresInRow() const { return Failures; }
+  uint64_t consecutiveFailures() const { return Failures; }
   uint64_t calls() const { return Calls; }
 
 private:
@@ -39,18 +39,18 @@
   void runWriter();
   bool readAll();
   bool watchOnce();
-  void take(const KeyValue &change, KeyValueService &service);
-  void takeManifest(const QByteArray &value, KeyValueService &service);
+  void apply(const KeyValue &change, KeyValueService &service);
+  void applyManifest(const QByteArray &value, KeyValueService &service);
   void repairRules(const RuleManifest &stored, KeyValueService &service);
-  void takeMembers(const QByteArray &value,
-                   moodycamel::ReaderWriterQueue<Event> &ring);
-  void writeNow(const MembersDocument &document);
+  void applyMembers(const QByteArray &value,
+                    moodycamel::ReaderWriterQueue<Event> &ring);
+  void writeMembers(const MembersDocument &document);
   void pause(Duration length);
 
   const Settings &Config;
   RuleStore &Store;
   CoreRings &Rings;
-  ShellCounters &Counters;
+  WorkerCounters &Counters;
   std::unique_ptr<KeyValueService> Reader;
   std::unique_ptr<KeyValueService> Writer;
   std::atomic<bool> Stopping = false;
@@ -58,7 +58,7 @@
   std::atomic<uint64_t> Failures = 0;
   std::atomic<uint64_t> Calls = 0;
   std::mutex WriteLock;
-  std::optional<MembersDocument> ToWrite;
+  std::optional<MembersDocument> PendingWrite;
   std::thread ReaderThread;
   std::thread WriterThread;
 };
--- a/lib/daemon/Rings.h
+++ b/lib/daemon/Rings.h
@@ -24,7 +24,7 @@
 using CoreTask = std::function<void(Core &, Time)>;
 
 /// Counters of the threads around the core.
-struct ShellCounters {
+struct WorkerCounters {
   std::array<std::atomic<uint64_t>, ReasonCount> Refusals{};
   std::atomic<uint64_t> PacketsReceived = 0;
 
@@ -42,8 +42,8 @@
   /// From the peers' thread.
   moodycamel::ReaderWriterQueue<Event> Peers{Messages};
   /// From the platform's watching and its calling thread.
-  moodycamel::ReaderWriterQueue<Event> PlatformWatch{Messages};
-  moodycamel::ReaderWriterQueue<Event> PlatformCalls{Messages};
+  moodycamel::ReaderWriterQueue<Event> PlatformReader{Messages};
+  moodycamel::ReaderWriterQueue<Event> PlatformWriter{Messages};
   /// From the admin threads, which take turns by the lock.
   std::mutex TaskLock;
   moodycamel::ReaderWriterQueue<CoreTask> AdminTasks{Tasks};
--- a/lib/daemon/RuleStore.cpp
+++ b/lib/daemon/RuleStore.cpp
@@ -24,7 +24,7 @@
   Manifest = manifest;
   Pages = std::move(needed);
   Submissions[manifest.Version] = manifest.SubmissionId;
-  if (Submissions.size() > VersionsRemembered)
+  if (Submissions.size() > MaxSubmissions)
     Submissions.erase(Submissions.begin());
   return compiled;
 }
@@ -55,7 +55,7 @@
   return Pages;
 }
 
-RuleDocument RuleStore::answer(const RuleRequest &request) const {
+RuleDocument RuleStore::documentFor(const RuleRequest &request) const {
   std::lock_guard lock(Lock);
   RuleDocument out{.Manifest = Manifest};
   for (const auto &[id, bytes] : Pages) {
@@ -67,7 +67,7 @@
   return out;
 }
 
-RuleRequest RuleStore::request(const InstanceInfo &self) const {
+RuleRequest RuleStore::makeRequest(const InstanceInfo &self) const {
   RuleRequest out{.Sender = self};
   std::lock_guard lock(Lock);
   for (const auto &[id, bytes] : Pages)
--- a/lib/daemon/RuleStore.h
+++ b/lib/daemon/RuleStore.h
@@ -34,14 +34,14 @@
   RuleManifest manifest() const;
   PageStore pages() const;
   /// What a peer that asks lacks.
-  RuleDocument answer(const RuleRequest &request) const;
+  RuleDocument documentFor(const RuleRequest &request) const;
   /// The question to a peer.
-  RuleRequest request(const InstanceInfo &self) const;
+  RuleRequest makeRequest(const InstanceInfo &self) const;
 
 private:
   mutable std::mutex Lock;
   /// So many of the last versions are told apart by their submissions.
-  static constexpr size_t VersionsRemembered = 16;
+  static constexpr size_t MaxSubmissions = 16;
 
   RuleManifest Manifest;
   PageStore Pages;
--- a/lib/daemon/Settings.cpp
+++ b/lib/daemon/Settings.cpp
@@ -14,7 +14,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr qsizetype LeastSecretBytes = 16;
+constexpr qsizetype MinSecretBytes = 16;
 constexpr std::array<std::string_view, 4> LogLevels = {"debug", "info",
                                                        "warning", "error"};
 
@@ -98,8 +98,8 @@
 
 void SettingsReader::readPeers(TomlReader &reader) {
   Out.PeerSecret = QByteArray::fromStdString(reader.requiredText("key"));
-  if (!Out.PeerSecret.isEmpty() && Out.PeerSecret.size() < LeastSecretBytes)
-    reader.fault("key", "is shorter than " + std::to_string(LeastSecretBytes) +
+  if (!Out.PeerSecret.isEmpty() && Out.PeerSecret.size() < MinSecretBytes)
+    reader.fault("key", "is shorter than " + std::to_string(MinSecretBytes) +
                             " bytes");
   for (const toml::table *it : reader.tables("seeds")) {
     TomlReader seed(*it, File, Faults);
@@ -109,10 +109,9 @@
 }
 
 void SettingsReader::readLimits(TomlReader &reader) {
-  auto count = [&](const char *key, size_t &value, int64_t least,
-                   int64_t most) {
+  auto count = [&](const char *key, size_t &value, int64_t min, int64_t max) {
     value = static_cast<size_t>(reader.number(key, static_cast<int64_t>(value),
-                                              {.Least = least, .Most = most}));
+                                              {.Least = min, .Most = max}));
   };
   CoreOptions &core = Out.Core;
   count("max_flows", core.Flows.MaxFlows, 100, 20'000'000);
@@ -130,9 +129,9 @@
 
 void SettingsReader::readTimes(TomlReader &reader) {
   CoreOptions &core = Out.Core;
-  auto time = [&](const char *key, Duration &value, Duration least,
-                  Duration most) {
-    value = reader.duration(key, value, least, most);
+  auto time = [&](const char *key, Duration &value, Duration min,
+                  Duration max) {
+    value = reader.duration(key, value, min, max);
   };
   time("heartbeat", core.Membership.HeartbeatInterval, milliseconds(50),
        seconds(10));
@@ -178,7 +177,7 @@
       it.fault("level", "expected debug, info, warning or error");
   });
   reader.finish();
-  Out.Platform.FromIp = Out.ListenPeers.Ip;
+  Out.Platform.SourceIp = Out.ListenPeers.Ip;
   return Out;
 }
 
--- a/lib/rules/RuleMatcher.cpp
+++ b/lib/rules/RuleMatcher.cpp
@@ -42,7 +42,7 @@
   return out;
 }
 
-std::vector<Prefix> orAny(const std::vector<Prefix> &prefixes) {
+std::vector<Prefix> prefixesOrAny(const std::vector<Prefix> &prefixes) {
   return prefixes.empty() ? std::vector<Prefix>{Prefix{}} : prefixes;
 }
 
@@ -69,8 +69,8 @@
                                                     uint32_t index) {
   std::vector<Entry> out;
   std::vector<PortPrefix> ports = portPrefixes(rule.Ports);
-  std::vector<Prefix> destinations = orAny(rule.Destinations);
-  for (const Prefix &source : orAny(rule.Sources)) {
+  std::vector<Prefix> destinations = prefixesOrAny(rule.Destinations);
+  for (const Prefix &source : prefixesOrAny(rule.Sources)) {
     for (const Prefix &destination : destinations) {
       for (const PortPrefix &port : ports) {
         Tuple masks{.SourceMask = prefixMask(source.Length),
@@ -91,7 +91,7 @@
   return out;
 }
 
-uint16_t RuleMatcher::tupleFor(const Tuple &masks) {
+uint16_t RuleMatcher::findOrAddTuple(const Tuple &masks) {
   auto it = std::find_if(Tuples.begin(), Tuples.end(),
                          [&](const Tuple &t) { return t.sameMasks(masks); });
   if (it == Tuples.end())
@@ -105,7 +105,7 @@
   std::vector<Slot> keys;
   for (uint32_t i = 0; i < rules.size(); ++i) {
     for (Entry &entry : expand(rules[i], i)) {
-      entry.Key.TupleIndex = tupleFor(entry.Masks);
+      entry.Key.TupleIndex = findOrAddTuple(entry.Masks);
       keys.push_back(entry.Key);
     }
   }
--- a/lib/rules/RulePages.cpp
+++ b/lib/rules/RulePages.cpp
@@ -109,8 +109,8 @@
 
 /// Encodes items into pages and returns the pages' names.
 template <typename Item, typename Encode>
-std::vector<PageId> cutPages(const std::vector<Item> &items, Encode encode,
-                             PageStore &pages) {
+std::vector<PageId> splitIntoPages(const std::vector<Item> &items,
+                                   Encode encode, PageStore &pages) {
   std::vector<PageId> out;
   QCborArray page;
   auto flush = [&] {
@@ -187,8 +187,8 @@
 RuleManifest paginate(const RuleSet &rules, PageStore &pages) {
   return {.Version = rules.Version,
           .SubmissionId = rules.SubmissionId,
-          .RulePages = cutPages(rules.Rules, encodeRule, pages),
-          .ServicePages = cutPages(rules.Services, encodeService, pages)};
+          .RulePages = splitIntoPages(rules.Rules, encodeRule, pages),
+          .ServicePages = splitIntoPages(rules.Services, encodeService, pages)};
 }
 
 tl::expected<RuleSet, Reason> assemble(const RuleManifest &manifest,
--- a/lib/store/KeyValue.cpp
+++ b/lib/store/KeyValue.cpp
@@ -48,7 +48,7 @@
           .ModRevision = number(object["mod_revision"])};
 }
 
-PlatformError errorOf(httplib::Error error) {
+PlatformError toPlatformError(httplib::Error error) {
   // Only a failed connection proves that nothing was sent.
   return error == httplib::Error::Connection ? PlatformError::Unreachable
                                              : PlatformError::Unknown;
@@ -108,8 +108,8 @@
   out->set_read_timeout(timeout);
   out->set_write_timeout(timeout);
   out->set_keep_alive(true);
-  if (Options.FromIp != 0)
-    out->set_interface(formatIp(Options.FromIp));
+  if (Options.SourceIp != 0)
+    out->set_interface(formatIp(Options.SourceIp));
   return out;
 }
 
@@ -130,10 +130,10 @@
       QJsonDocument answer =
           QJsonDocument::fromJson(QByteArray::fromStdString(result->body));
       if (result->status != StatusOk || !answer.isObject())
-        return tl::make_unexpected(PlatformError::BadAnswer);
+        return tl::make_unexpected(PlatformError::BadResponse);
       return answer.object();
     }
-    error = errorOf(result.error());
+    error = toPlatformError(result.error());
     // A call that may have taken effect is not repeated at another server:
     // the caller has to find out first.
     if (error != PlatformError::Unreachable)
@@ -210,7 +210,7 @@
   httplib::Result result = client->send(request);
   if (!result && result.error() != httplib::Error::Canceled) {
     Preferred = (Preferred + 1) % Clients.size();
-    return tl::make_unexpected(errorOf(result.error()));
+    return tl::make_unexpected(toPlatformError(result.error()));
   }
   return {};
 }
@@ -234,7 +234,7 @@
     return "outcome_unknown";
   case PlatformError::Limited:
     return "limited";
-  case PlatformError::BadAnswer:
+  case PlatformError::BadResponse:
     return "bad_answer";
   }
   return "invalid";
--- a/lib/store/RuleRegistry.cpp
+++ b/lib/store/RuleRegistry.cpp
@@ -98,7 +98,7 @@
     return Current{};
   auto manifest = decodeManifest(found->front().Value);
   if (!manifest)
-    return tl::make_unexpected(PlatformError::BadAnswer);
+    return tl::make_unexpected(PlatformError::BadResponse);
   return Current{.Manifest = *manifest, .Revision = found->front().ModRevision};
 }
 
@@ -115,7 +115,7 @@
     return std::optional<RuleManifest>();
   auto manifest = decodeManifest(found->front().Value);
   if (!manifest)
-    return tl::make_unexpected(PlatformError::BadAnswer);
+    return tl::make_unexpected(PlatformError::BadResponse);
   return std::optional(*manifest);
 }
 
@@ -140,14 +140,14 @@
       return tl::make_unexpected(found.error());
     bool ok = found->size() == 1 && pageIdOf(found->front().Value) == id;
     if (!ok)
-      return tl::make_unexpected(PlatformError::BadAnswer);
+      return tl::make_unexpected(PlatformError::BadResponse);
     pages[id] = found->front().Value;
   }
   return {};
 }
 
 std::optional<SubmitOutcome>
-RuleRegistry::findEarlier(const std::string &submissionId) {
+RuleRegistry::findAccepted(const std::string &submissionId) {
   auto manifests = history();
   if (!manifests)
     return NotSubmitted{.Why = manifests.error()};
@@ -160,7 +160,7 @@
 SubmitOutcome RuleRegistry::submit(RuleSet rules,
                                    std::optional<RuleVersion> ifVersion) {
   // A repeat of a submission whose answer was lost must not take effect twice.
-  if (auto earlier = findEarlier(rules.SubmissionId))
+  if (auto earlier = findAccepted(rules.SubmissionId))
     return *earlier;
   auto before = current();
   if (!before)
@@ -192,7 +192,7 @@
     if (noEffect)
       return NotSubmitted{.Why = swapped.error()};
     // The answer was lost. The id tells whether the swap took place.
-    if (auto earlier = findEarlier(rules.SubmissionId))
+    if (auto earlier = findAccepted(rules.SubmissionId))
       if (std::holds_alternative<Accepted>(*earlier))
         return *earlier;
     return OutcomeUnknown{.Why = swapped.error()};
@@ -206,7 +206,7 @@
   // manifest named it yet. Writing it again is harmless.
   for (const KeyValuePut &it : early)
     (void)Service.put(it);
-  forgetOld(rules.Version);
+  removeOldVersions(rules.Version);
   return Accepted{.Version = rules.Version};
 }
 
@@ -221,9 +221,9 @@
                        .Puts = std::move(puts)});
 }
 
-PlatformResult<bool> RuleRegistry::putBack(const RuleManifest &stored,
-                                           const RuleManifest &manifest,
-                                           const PageStore &pages) {
+PlatformResult<bool> RuleRegistry::restoreVersion(const RuleManifest &stored,
+                                                  const RuleManifest &manifest,
+                                                  const PageStore &pages) {
   auto before = current();
   if (!before)
     return tl::make_unexpected(before.error());
@@ -252,7 +252,7 @@
   return replaceManifest(next, before->Revision, {});
 }
 
-void RuleRegistry::forgetOld(RuleVersion newest) {
+void RuleRegistry::removeOldVersions(RuleVersion newest) {
   // Best effort: what is left over is removed after the next submission.
   auto manifests = history();
   if (!manifests)
--- a/programs/chicoryctl/RuleCommands.cpp
+++ b/programs/chicoryctl/RuleCommands.cpp
@@ -142,7 +142,7 @@
   }
   auto rules = assemble(**manifest, pages);
   if (!rules) {
-    exitCode = platformFailed(PlatformError::BadAnswer);
+    exitCode = platformFailed(PlatformError::BadResponse);
     return std::nullopt;
   }
   return *rules;
--- a/tests/DaemonTest.cpp
+++ b/tests/DaemonTest.cpp
@@ -26,7 +26,7 @@
 }
 
 /// A daemon whose platform does not exist.
-Settings lonely() {
+Settings settingsWithoutPlatform() {
   Settings out;
   out.Self = {.Id = InstanceId{1},
               .Zone = "z",
@@ -38,7 +38,7 @@
   out.Fabric = freeUdp();
   out.PeerSecret = "a secret for tests only";
   out.Platform.Servers = {freeTcp()};
-  out.Platform.FromIp = Loopback;
+  out.Platform.SourceIp = Loopback;
   out.LogLevel = "error";
   return out;
 }
@@ -46,14 +46,14 @@
 /// The daemon on a thread of its own, stopped at the end.
 class RunningDaemon {
 public:
-  RunningDaemon() : Config(lonely()), Running(Config) {
+  RunningDaemon() : Config(settingsWithoutPlatform()), Running(Config) {
     auto started = Running.start();
     expectTrue(started.has_value(), started ? "" : started.error());
-    Worker = std::thread([this] { Running.run(StopAsked); });
+    Worker = std::thread([this] { Running.run(StopFlag); });
   }
   ~RunningDaemon() { stop(); }
   void stop() {
-    StopAsked = true;
+    StopFlag = true;
     if (Worker.joinable())
       Worker.join();
   }
@@ -66,7 +66,7 @@
 
 private:
   Daemon Running;
-  std::atomic<bool> StopAsked = false;
+  std::atomic<bool> StopFlag = false;
   std::thread Worker;
 };
 
@@ -120,7 +120,7 @@
 
   void refusesATakenAddress() {
     RunningDaemon first;
-    Settings second = lonely();
+    Settings second = settingsWithoutPlatform();
     second.ListenPackets = first.Config.ListenPackets;
     Daemon daemon(second);
     auto started = daemon.start();
--- a/tests/ReasonsTest.cpp
+++ b/tests/ReasonsTest.cpp
@@ -45,7 +45,7 @@
     for (size_t i = 0; i < ReasonCount; ++i)
       stats.Refusals[i] = 1000 + i;
     std::string text =
-        chicory::renderMetrics(stats, chicory::ShellCounters(), {});
+        chicory::renderMetrics(stats, chicory::WorkerCounters(), {});
     for (size_t i = 1; i < ReasonCount; ++i) {
       std::string line = "chicory_refusals_total{reason=\"" +
                          std::string(reasonName(static_cast<Reason>(i))) +
--- a/tests/RuleMatcherTest.cpp
+++ b/tests/RuleMatcherTest.cpp
@@ -60,7 +60,7 @@
   CPPUNIT_TEST_SUITE(RuleMatcherTest);
   CPPUNIT_TEST(findsTheFirstOfOverlappingRules);
   CPPUNIT_TEST(matchesEveryPortOfARange);
-  CPPUNIT_TEST(agreesWithAWalkOverAllRules);
+  CPPUNIT_TEST(agreesWithALinearScan);
   CPPUNIT_TEST_SUITE_END();
 
   void findsTheFirstOfOverlappingRules() {
@@ -86,7 +86,7 @@
     }
   }
 
-  void agreesWithAWalkOverAllRules() {
+  void agreesWithALinearScan() {
     property("the compiled decision is the first match of a walk", [] {
       auto rules = *rc::gen::container<std::vector<Rule>>(anyRule());
       RuleMatcher matcher(rules);
--- a/tests/RulePagesTest.cpp
+++ b/tests/RulePagesTest.cpp
@@ -22,13 +22,13 @@
 
 class RulePagesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RulePagesTest);
-  CPPUNIT_TEST(putsARuleSetTogetherAgain);
+  CPPUNIT_TEST(reassemblesAnEqualRuleSet);
   CPPUNIT_TEST(sharesPagesBetweenVersions);
-  CPPUNIT_TEST(refusesMissingAndDamagedPages);
+  CPPUNIT_TEST(rejectsMissingAndDamagedPages);
   CPPUNIT_TEST(survivesGarbage);
   CPPUNIT_TEST_SUITE_END();
 
-  void putsARuleSetTogetherAgain() {
+  void reassemblesAnEqualRuleSet() {
     RuleSet rules = manyRules(500);
     rules.Services[0].Targets[1].Drain = true;
     PageStore pages;
@@ -54,7 +54,7 @@
     });
   }
 
-  void refusesMissingAndDamagedPages() {
+  void rejectsMissingAndDamagedPages() {
     PageStore pages;
     RuleManifest manifest = paginate(manyRules(100), pages);
     section("a missing page", [&] {
--- a/tests/RuleRegistryTest.cpp
+++ b/tests/RuleRegistryTest.cpp
@@ -16,7 +16,7 @@
 /// Keys in memory, and a plan of which calls fail and how.
 class FakeService : public KeyValueService {
 public:
-  enum class Fault { None, Refused, AnswerLost };
+  enum class Fault { None, Refused, ResponseLost };
 
   /// The nth write from now on fails like this.
   void failWrite(int n, Fault how) {
@@ -91,7 +91,7 @@
     if (fault == Fault::Refused)
       return tl::make_unexpected(PlatformError::Unreachable);
     T result = apply();
-    if (fault == Fault::AnswerLost)
+    if (fault == Fault::ResponseLost)
       return tl::make_unexpected(PlatformError::Unknown);
     return result;
   }
@@ -131,20 +131,20 @@
 class RuleRegistryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RuleRegistryTest);
   CPPUNIT_TEST(acceptsAndReadsBack);
-  CPPUNIT_TEST(givesARaceOneWinner);
-  CPPUNIT_TEST(findsOutWhenAnAnswerIsLost);
-  CPPUNIT_TEST(repeatsSafely);
-  CPPUNIT_TEST(neverHalfApplies);
-  CPPUNIT_TEST(refusesAnotherBaseVersion);
-  CPPUNIT_TEST(forgetsOldVersionsButNoSharedPage);
-  CPPUNIT_TEST(codesMembersAndInstances);
-  CPPUNIT_TEST(putsBackWhatARestoreLost);
-  CPPUNIT_TEST(renumbersWhatAReusedNumberHides);
+  CPPUNIT_TEST(acceptsOneOfTwoConcurrentSubmissions);
+  CPPUNIT_TEST(recognizesAcceptanceAfterALostResponse);
+  CPPUNIT_TEST(acceptsARepeatedSubmissionOnce);
+  CPPUNIT_TEST(keepsRuleSetsWholeAfterAFailedWrite);
+  CPPUNIT_TEST(rejectsAnotherBaseVersion);
+  CPPUNIT_TEST(removesOldVersionsButKeepsSharedPages);
+  CPPUNIT_TEST(encodesAndDecodesMembersAndInstances);
+  CPPUNIT_TEST(restoresVersionsThatTheServiceLost);
+  CPPUNIT_TEST(renumbersRulesWithAReusedNumber);
   CPPUNIT_TEST_SUITE_END();
 
   // Guards against accepted rules that go back when the service is restored
   // from an older copy.
-  void putsBackWhatARestoreLost() {
+  void restoresVersionsThatTheServiceLost() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("one"), {});
@@ -155,10 +155,11 @@
     expectTrue(registry.fetchPages(held, pages).has_value(), "the pages");
     service = copy;
     RuleManifest stored = registry.currentManifest().value().value();
-    expectTrue(registry.putBack(stored, held, pages).value(), "it is put back");
+    expectTrue(registry.restoreVersion(stored, held, pages).value(),
+               "it is put back");
     expectEqual<std::string>("two", readCurrent(service).SubmissionId);
     section("once", [&] {
-      expectTrue(!registry.putBack(stored, held, pages).value(),
+      expectTrue(!registry.restoreVersion(stored, held, pages).value(),
                  "it stands there");
     });
     section("and what follows gets the next number", [&] {
@@ -167,19 +168,19 @@
     section("not over a later submission", [&] {
       service = copy;
       service.BeforeSwap = [&] { registry.submit(submission("y"), {}); };
-      expectTrue(!registry.putBack(stored, held, pages).value_or(false),
+      expectTrue(!registry.restoreVersion(stored, held, pages).value_or(false),
                  "another writer was first");
       service = copy;
       registry.submit(submission("three"), {});
       held.Version = RuleVersion{9};
-      expectTrue(!registry.putBack(stored, held, pages).value(),
+      expectTrue(!registry.restoreVersion(stored, held, pages).value(),
                  "nor where it has a lower number");
     });
   }
 
   // Guards against accepted rules that never come into force, since their
   // number was in use before a restore.
-  void renumbersWhatAReusedNumberHides() {
+  void renumbersRulesWithAReusedNumber() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("one"), {});
@@ -204,7 +205,7 @@
                "the rules that were submitted");
   }
 
-  void givesARaceOneWinner() {
+  void acceptsOneOfTwoConcurrentSubmissions() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("base"), {});
@@ -221,14 +222,14 @@
   // Symptom: automation submits twice and overwrites somebody's change.
   // Sequence: the swap takes effect, its answer is lost.
   // Cause: a lost answer looks like a failure.
-  void findsOutWhenAnAnswerIsLost() {
+  void recognizesAcceptanceAfterALostResponse() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("a"), {});
-    service.failWrite(1, FakeService::Fault::AnswerLost);
+    service.failWrite(1, FakeService::Fault::ResponseLost);
     expectEqual<uint64_t>(2, versionOf(registry.submit(submission("b"), {})));
     section("it can't be told while reads fail too", [&] {
-      service.failWrite(1, FakeService::Fault::AnswerLost);
+      service.failWrite(1, FakeService::Fault::ResponseLost);
       service.BeforeSwap = [&] { service.ReadsFail = true; };
       SubmitOutcome outcome = registry.submit(submission("c"), {});
       expectTrue(std::holds_alternative<OutcomeUnknown>(outcome),
@@ -238,7 +239,7 @@
     });
   }
 
-  void repeatsSafely() {
+  void acceptsARepeatedSubmissionOnce() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("a"), {});
@@ -249,14 +250,14 @@
     });
   }
 
-  void neverHalfApplies() {
+  void keepsRuleSetsWholeAfterAFailedWrite() {
     property("a failure at any write leaves the old set whole", [] {
       FakeService service;
       RuleRegistry registry(service);
       registry.submit(submission("a", 50), {});
       auto n = *rc::gen::inRange(1, 60);
       bool lost = *rc::gen::arbitrary<bool>();
-      service.failWrite(n, lost ? FakeService::Fault::AnswerLost
+      service.failWrite(n, lost ? FakeService::Fault::ResponseLost
                                 : FakeService::Fault::Refused);
       SubmitOutcome outcome = registry.submit(submission("b", 3000), {});
       RuleSet current = readCurrent(service);
@@ -266,7 +267,7 @@
     });
   }
 
-  void refusesAnotherBaseVersion() {
+  void rejectsAnotherBaseVersion() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("a"), {});
@@ -276,7 +277,7 @@
         2, versionOf(registry.submit(submission("b"), RuleVersion{1})));
   }
 
-  void forgetsOldVersionsButNoSharedPage() {
+  void removesOldVersionsButKeepsSharedPages() {
     FakeService service;
     RuleRegistry registry(service);
     for (int i = 0; i < 40; ++i) {
@@ -287,7 +288,7 @@
     expectTrue(service.count(keys::Pages) < 200, "old pages are gone");
   }
 
-  void codesMembersAndInstances() {
+  void encodesAndDecodesMembersAndInstances() {
     MembersDocument document{.Version = MembersVersion{3},
                              .Members = {InstanceId{1}, InstanceId{2}},
                              .Previous = {InstanceId{2}}};
--- a/tests/RuleStoreTest.cpp
+++ b/tests/RuleStoreTest.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 /// A version of rules as the platform would show it.
-RuleManifest versionOf(uint64_t version, const std::string &submission,
-                       PageStore &pages) {
+RuleManifest makeManifest(uint64_t version, const std::string &submission,
+                          PageStore &pages) {
   RuleSet rules = samples::ruleSet(version);
   rules.SubmissionId = submission;
   return paginate(rules, pages);
@@ -20,23 +20,25 @@
 
 class RuleStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RuleStoreTest);
-  CPPUNIT_TEST(tellsALostVersionFromAReusedNumber);
+  CPPUNIT_TEST(distinguishesLostVersionsFromReusedNumbers);
   CPPUNIT_TEST_SUITE_END();
 
   // Guards against taking what a restored platform shows for what was accepted
   // last, and against ignoring what was accepted since.
-  void tellsALostVersionFromAReusedNumber() {
+  void distinguishesLostVersionsFromReusedNumbers() {
     RuleStore store;
     PageStore pages;
-    RuleManifest first = versionOf(4, "a", pages);
-    RuleManifest second = versionOf(5, "b", pages);
+    RuleManifest first = makeManifest(4, "a", pages);
+    RuleManifest second = makeManifest(5, "b", pages);
     expectTrue(store.learn(first, pages).has_value(), "version 4");
     expectTrue(store.learn(second, pages).has_value(), "version 5");
     expectTrue(store.compare(second) == StoredRules::Current, "in force");
     expectTrue(store.compare(first) == StoredRules::Lost, "version 5 is lost");
-    expectTrue(store.compare(versionOf(5, "c", pages)) == StoredRules::Reused,
+    expectTrue(store.compare(makeManifest(5, "c", pages)) ==
+                   StoredRules::Reused,
                "other rules under 5");
-    expectTrue(store.compare(versionOf(3, "z", pages)) == StoredRules::Current,
+    expectTrue(store.compare(makeManifest(3, "z", pages)) ==
+                   StoredRules::Current,
                "nobody here knows version 3");
     expectTrue(store.manifest() == second, "version 5 stays in force");
   }
