--- a/include/chicorybank/daemon/Daemon.h
+++ b/include/chicorybank/daemon/Daemon.h
@@ -1,4 +1,4 @@
-// The daemon: a core with the threads around it.
+// One instance: the core and the threads that do its input and output.
 
 #ifndef CHICORYBANK_DAEMON_DAEMON_H
 #define CHICORYBANK_DAEMON_DAEMON_H
@@ -12,7 +12,7 @@
 
 namespace chicory {
 
-/// Runs one instance.
+/// Runs one instance of the load balancer.
 ///
 ///   Daemon daemon(settings);
 ///   if (auto started = daemon.start(); !started)
@@ -25,11 +25,11 @@
   Daemon(const Daemon &) = delete;
   Daemon &operator=(const Daemon &) = delete;
 
-  /// Binds all addresses and starts the threads. Fails with a text for
+  /// Binds all addresses and starts the threads. An error is a message for
   /// operators.
   tl::expected<void, std::string> start();
-  /// Runs the core on the calling thread. When `stopRequested` becomes true, a
-  /// planned stop begins; returns when it is complete.
+  /// Runs the core on the calling thread. Begins a planned stop when
+  /// `stopRequested` becomes true, and returns when the stop is complete.
   void run(const std::atomic<bool> &stopRequested);
 
 private:
--- a/include/chicorybank/daemon/Settings.h
+++ b/include/chicorybank/daemon/Settings.h
@@ -1,7 +1,7 @@
-// The settings of `chicoryd`: a TOML file, checked as a whole.
+// The settings of `chicoryd`, read from a TOML file. All findings in the file
+// are reported at once.
 //
-// docs/SETTINGS.md lists every key; samples/chicoryd.toml is a file to start
-// from.
+// docs/SETTINGS.md lists every key; samples/chicoryd.toml is an example.
 
 #ifndef CHICORYBANK_DAEMON_SETTINGS_H
 #define CHICORYBANK_DAEMON_SETTINGS_H
@@ -17,28 +17,30 @@
 
 namespace chicory {
 
-/// Everything that `chicoryd` is told at its start.
+/// All settings of one instance.
 struct Settings {
-  /// Where peers reach this instance.
+  /// This instance, with the addresses at which peers reach it.
   InstanceInfo Self;
-  /// Where it listens; the same, but where a relay stands in between.
+  /// The addresses to listen on. They differ from those of `Self` only where
+  /// peers reach this instance through a relay.
   Address ListenPackets;
   Address ListenPeers;
   Address Fabric;
   QByteArray PeerSecret;
   std::vector<InstanceInfo> Seeds;
   PlatformClientOptions Platform;
-  /// How often an instance that does not watch the platform reads it.
+  /// The poll interval of an instance that does not watch the platform.
   Duration PlatformPoll = std::chrono::seconds(30);
-  /// Control bytes that this instance may send in a second.
+  /// Bytes of control traffic that this instance may send per second.
   uint64_t ControlBytesPerSecond = 4000;
   std::string LogLevel = "info";
-  /// Times and bounds; its `Self`, `Incarnation` and `EpochMs` are left to the
-  /// daemon.
+  /// Times and limits of the core. The daemon sets `Self`, `Incarnation`,
+  /// `Seed` and `EpochMs`.
   CoreOptions Core;
 };
 
-/// Reads and checks settings. Returns nothing when there is any finding.
+/// Reads and checks settings. Adds every problem to `findings`, and returns
+/// nothing if there is one.
 ///
 ///   Findings findings;
 ///   auto settings = readSettings(text, "chicoryd.toml", findings);
--- a/lib/daemon/Admin.cpp
+++ b/lib/daemon/Admin.cpp
@@ -92,7 +92,7 @@
   return {{"targets", targets}};
 }
 
-/// Parses "A:P,B:P,PROTO".
+/// Parses "IP:port,IP:port,protocol": source, destination, protocol number.
 std::optional<FlowKey> parseFlow(const std::string &value) {
   size_t first = value.find(',');
   size_t second = value.find(',', first + 1);
@@ -124,10 +124,10 @@
 
 AdminServer::AdminServer(Address listen, CoreRings &rings,
                          const WorkerCounters &counters, const Journal &journal,
-                         std::function<WorkerStats()> figures)
+                         std::function<WorkerStats()> readWorkerStats)
     : Listen(listen), Rings(rings), Counters(counters), Events(journal),
-      Figures(std::move(figures)), Server(std::make_unique<httplib::Server>()) {
-}
+      ReadWorkerStats(std::move(readWorkerStats)),
+      Server(std::make_unique<httplib::Server>()) {}
 
 AdminServer::~AdminServer() { stop(); }
 
@@ -158,7 +158,7 @@
       if (result)
         reply(response, *result);
       else
-        fail(response, StatusUnavailable, "the core did not answer");
+        fail(response, StatusUnavailable, "the core did not respond in time");
     };
   };
   Server->Get("/status", json(statusJson));
@@ -173,7 +173,8 @@
       return explanationJson(core.explain(*flow, now));
     });
     if (!result)
-      return fail(response, StatusUnavailable, "the core did not answer");
+      return fail(response, StatusUnavailable,
+                  "the core did not respond in time");
     reply(response, *result);
   });
   Server->Get("/events", [this](const httplib::Request & /*request*/,
@@ -190,15 +191,16 @@
     auto stats =
         runOnCore<CoreStats>([](Core &core, Time) { return core.stats(); });
     if (!stats)
-      return fail(response, StatusUnavailable, "the core did not answer");
-    response.set_content(renderMetrics(*stats, Counters, Figures()),
+      return fail(response, StatusUnavailable,
+                  "the core did not respond in time");
+    response.set_content(renderMetrics(*stats, Counters, ReadWorkerStats()),
                          "text/plain; version=0.0.4");
   });
 }
 
 tl::expected<void, std::string> AdminServer::start() {
   addRoutes();
-  // Few threads: operators and one scraper are all that calls here.
+  // Two threads are enough: only operators and one scraper send requests.
   Server->new_task_queue = [] { return new httplib::ThreadPool(2); };
   if (!Server->bind_to_port(formatIp(Listen.Ip), Listen.Port))
     return tl::make_unexpected("bind " + formatAddress(Listen) + ": failed");
--- a/lib/daemon/Admin.h
+++ b/lib/daemon/Admin.h
@@ -1,4 +1,5 @@
-// The HTTP side for operators: metrics and what `chicoryctl` asks for.
+// The HTTP server for operators: metrics, and the data that `chicoryctl`
+// requests.
 
 #ifndef CHICORYBANK_LIB_DAEMON_ADMIN_H
 #define CHICORYBANK_LIB_DAEMON_ADMIN_H
@@ -16,7 +17,7 @@
 
 namespace chicory {
 
-/// Figures of the threads around the core.
+/// Statistics of the worker threads, for the metrics.
 struct WorkerStats {
   uint64_t ControlBytes = 0;
   uint64_t PlatformCalls = 0;
@@ -28,14 +29,17 @@
 class AdminServer {
 public:
   AdminServer(Address listen, CoreRings &rings, const WorkerCounters &counters,
-              const Journal &journal, std::function<WorkerStats()> figures);
+              const Journal &journal,
+              std::function<WorkerStats()> readWorkerStats);
   ~AdminServer();
 
-  /// Fails with a text for operators.
+  /// Binds the address and starts serving. An error is a message for operators.
   tl::expected<void, std::string> start();
   void stop();
 
 private:
+  /// Runs `task` on the core's thread. Returns nothing if the ring is full or
+  /// the core does not run the task in time.
   template <typename Result>
   std::optional<Result> runOnCore(std::function<Result(Core &, Time)> task);
   void addRoutes();
@@ -45,7 +49,7 @@
   CoreRings &Rings;
   const WorkerCounters &Counters;
   const Journal &Events;
-  std::function<WorkerStats()> Figures;
+  std::function<WorkerStats()> ReadWorkerStats;
   std::unique_ptr<httplib::Server> Server;
   std::thread Worker;
 };
--- a/lib/daemon/Daemon.cpp
+++ b/lib/daemon/Daemon.cpp
@@ -17,14 +17,14 @@
 
 constexpr Duration TickInterval = std::chrono::milliseconds(10);
 constexpr Duration WatchCheckInterval = std::chrono::seconds(1);
-// How many instances of a zone watch the platform.
+// Instances per zone that watch the platform.
 constexpr size_t WatchersPerZone = 1;
-// Packet batches that are handled before other rings get a turn.
+// Packet batches that are handled before the other rings are read.
 constexpr int BatchesPerTurn = 16;
 
 } // namespace
 
-/// All parts of a daemon, and the visitor that carries out actions.
+/// All parts of a daemon. Also the visitor that executes the core's actions.
 class Daemon::Implementation {
 public:
   explicit Implementation(Settings settings);
@@ -32,7 +32,7 @@
   tl::expected<void, std::string> start();
   void run(const std::atomic<bool> &stopRequested);
 
-  // The visitor of actions.
+  // One overload per type of action.
   void operator()(const SendPacket &action);
   void operator()(const ForwardPacket &action);
   void operator()(const SendQuery &action);
@@ -62,9 +62,10 @@
   void updateWatching();
   void checkControlBudget();
   bool withinBudget() const { return BytesThisSecond <= ControlBurstBytes; }
-  WorkerStats figures() const;
+  WorkerStats workerStats() const;
 
-  /// A pull of rules may burst above the rate; what is above this waits.
+  /// Requests for rules are refused while the control bytes of the last second
+  /// exceed this. A pull of rules may burst above the configured rate.
   static constexpr uint64_t ControlBurstBytes = 1 << 20;
 
   Settings Config;
@@ -79,7 +80,7 @@
   Transport Peers;
   PlatformWorker Platform;
   AdminServer Admin;
-  Core Decisions;
+  Core DecisionCore;
   Actions Pending;
   Time NextTick;
   Time NextWatchCheck;
@@ -97,8 +98,8 @@
             callbacks()),
       Platform(Config, Store, Rings, Counters),
       Admin(Config.Self.Admin, Rings, Counters, Events,
-            [this] { return figures(); }),
-      Decisions(coreOptions(), bootTimeNow()) {}
+            [this] { return workerStats(); }),
+      DecisionCore(coreOptions(), bootTimeNow()) {}
 
 CoreOptions Daemon::Implementation::coreOptions() {
   std::random_device random;
@@ -130,7 +131,7 @@
     return pushPeerEvent(HeartbeatArrived{.Message = std::move(*heartbeat)});
   if (auto *document = std::get_if<RuleDocument>(&message))
     return learnFromPeer(*document);
-  // Sent from the core's thread, which alone may use the transport's ring.
+  // Send from the core's thread: only that thread may use the transport's ring.
   auto request = std::get<RuleRequest>(std::move(message));
   std::lock_guard lock(Rings.TaskLock);
   bool queued = Rings.AdminTasks.try_enqueue([this, request](Core &, Time) {
@@ -143,7 +144,7 @@
     Counters.refuse(Reason::RingFull);
 }
 
-// Runs on the peers' thread: rule sets are compiled there, not on the core's.
+// Runs on the peers' thread, so that the core's thread compiles no rule sets.
 void Daemon::Implementation::learnFromPeer(const RuleDocument &document) {
   auto rules = Store.learn(document.Manifest, document.Pages);
   if (!rules)
@@ -169,7 +170,7 @@
 }
 
 void Daemon::Implementation::handle(const Event &event) {
-  Decisions.handle(event, bootTimeNow(), Pending);
+  DecisionCore.handle(event, bootTimeNow(), Pending);
   executeActions();
 }
 
@@ -186,7 +187,7 @@
 }
 
 void Daemon::Implementation::operator()(const ForwardPacket &action) {
-  const Peer *peer = Decisions.membership().find(action.To);
+  const Peer *peer = DecisionCore.membership().find(action.To);
   if (peer == nullptr)
     return Counters.refuse(Reason::PeerUnreachable);
   ForwardedPacketArrived message{
@@ -196,7 +197,7 @@
 }
 
 void Daemon::Implementation::operator()(const SendQuery &action) {
-  const Peer *peer = Decisions.membership().find(action.To);
+  const Peer *peer = DecisionCore.membership().find(action.To);
   if (peer == nullptr)
     return Counters.refuse(Reason::PeerUnreachable);
   PeerDatagram message = std::visit(
@@ -213,7 +214,7 @@
       handle(event);
   CoreTask task;
   while (Rings.AdminTasks.try_dequeue(task))
-    task(Decisions, bootTimeNow());
+    task(DecisionCore, bootTimeNow());
 }
 
 void Daemon::Implementation::run(const std::atomic<bool> &stopRequested) {
@@ -225,7 +226,7 @@
     while (got) {
       Time now = bootTimeNow();
       for (const Event &it : batch)
-        Decisions.handle(it, now, Pending);
+        DecisionCore.handle(it, now, Pending);
       executeActions();
       got = ++batches < BatchesPerTurn && Rings.Packets.try_dequeue(batch);
     }
@@ -255,9 +256,10 @@
 }
 
 void Daemon::Implementation::updateWatching() {
-  // The same rule on each instance of a zone, so no leader has to be chosen.
-  // Where they see each other differently, one more or one fewer watches.
-  const Membership &members = Decisions.membership();
+  // Every instance of a zone applies the same rule, so no leader election is
+  // needed. If their views of the zone differ, there may be one watcher too
+  // many or too few.
+  const Membership &members = DecisionCore.membership();
   std::vector<InstanceId> zone;
   for (InstanceId it : members.homes()) {
     const Peer *peer = members.find(it);
@@ -281,7 +283,7 @@
   Events.record("control_budget_exceeded", std::to_string(BytesThisSecond));
 }
 
-WorkerStats Daemon::Implementation::figures() const {
+WorkerStats Daemon::Implementation::workerStats() const {
   return {.ControlBytes = Peers.bytesSent(),
           .PlatformCalls = Platform.calls(),
           .ConsecutivePlatformFailures = Platform.consecutiveFailures(),
--- a/lib/daemon/Journal.h
+++ b/lib/daemon/Journal.h
@@ -1,5 +1,5 @@
-// What the instance did: one log line per event, and the last of them kept for
-// `chicoryctl events`.
+// The event log of an instance: writes a log line per event and keeps the most
+// recent events for `chicoryctl events`.
 
 #ifndef CHICORYBANK_LIB_DAEMON_JOURNAL_H
 #define CHICORYBANK_LIB_DAEMON_JOURNAL_H
@@ -18,34 +18,37 @@
 
 namespace chicory {
 
-/// One event.
+/// One logged event.
 struct JournalEntry {
   /// Milliseconds since the Unix epoch.
   int64_t AtMs = 0;
   std::string Event;
-  /// Further key=value pairs, or a value, without line breaks.
+  /// More key=value pairs or a single value; contains no line breaks.
   std::string Detail;
 };
 
-/// Writes events on a thread of its own.
+/// Records events and writes them to the log on a separate thread.
 class Journal {
 public:
-  /// `instance` stands in each line.
+  /// Each line contains the id `instance`. Lines below `level` are not written.
   Journal(uint32_t instance, const std::string &level);
   ~Journal() { stop(); }
 
-  /// Notes an event; only the core's thread may call it. A full ring drops it.
+  /// Queues an event; only the core's thread may call this. Drops the event if
+  /// the ring is full.
   void record(std::string event, std::string detail);
-  /// The last events, the oldest first.
+  /// Returns the most recent events, oldest first.
   std::vector<JournalEntry> recent() const;
   void stop();
 
 private:
   static constexpr size_t RingSize = 4096;
   static constexpr size_t MaxEntries = 1000;
-  /// Lines of one kind that are written in a second; the rest is counted.
+  /// Lines that are written per second for one kind of event. Further ones are
+  /// only counted.
   static constexpr uint32_t LinesPerSecond = 20;
 
+  /// Lines of one kind of event in the current second.
   struct LineCount {
     int64_t Second = 0;
     uint32_t Written = 0;
--- a/lib/daemon/Metrics.h
+++ b/lib/daemon/Metrics.h
@@ -1,4 +1,4 @@
-// Metrics in the text form of Prometheus.
+// Metrics in the Prometheus text format.
 
 #ifndef CHICORYBANK_LIB_DAEMON_METRICS_H
 #define CHICORYBANK_LIB_DAEMON_METRICS_H
@@ -9,10 +9,10 @@
 
 namespace chicory {
 
-/// All metrics. Each refusal and retry reason has a counter from the start,
-/// so that an alert on its rate works before it first occurs.
-std::string renderMetrics(const CoreStats &core, const WorkerCounters &shell,
-                          const WorkerStats &figures);
+/// Renders all metrics. Each refusal and retry reason has a counter from the
+/// start, so that an alert on its rate works before the reason first occurs.
+std::string renderMetrics(const CoreStats &core, const WorkerCounters &counters,
+                          const WorkerStats &workers);
 
 } // namespace chicory
 
--- a/lib/daemon/PacketIo.cpp
+++ b/lib/daemon/PacketIo.cpp
@@ -8,12 +8,14 @@
 
 namespace {
 
-constexpr size_t ReceiveBatch = 64;
-// Room for a packet and the head that another instance puts before it. A
-// longer datagram is cut off here and refused by the decoder.
-constexpr size_t DatagramRoom = 2048;
+constexpr size_t ReceiveBatchSize = 64;
+// Holds a packet and the header that another instance puts before it. A longer
+// datagram is truncated here and refused by the decoder.
+constexpr size_t DatagramBufferSize = 2048;
 constexpr int PollTimeoutMs = 100;
 
+/// Whether the head is enough to handle a packet, because its datagram is
+/// forwarded unchanged.
 bool needsHeadOnly(PacketKind kind) {
   return kind == PacketKind::Data || kind == PacketKind::Open ||
          kind == PacketKind::Close;
@@ -76,30 +78,31 @@
 }
 
 void PacketReceiver::run() {
-  std::vector<std::array<char, DatagramRoom>> room(ReceiveBatch);
-  std::array<iovec, ReceiveBatch> vectors{};
-  std::array<sockaddr_in, ReceiveBatch> senders{};
-  std::array<mmsghdr, ReceiveBatch> headers{};
-  for (size_t i = 0; i < ReceiveBatch; ++i) {
-    vectors[i] = {.iov_base = room[i].data(), .iov_len = DatagramRoom};
+  std::vector<std::array<char, DatagramBufferSize>> buffers(ReceiveBatchSize);
+  std::array<iovec, ReceiveBatchSize> vectors{};
+  std::array<sockaddr_in, ReceiveBatchSize> senders{};
+  std::array<mmsghdr, ReceiveBatchSize> headers{};
+  for (size_t i = 0; i < ReceiveBatchSize; ++i) {
+    vectors[i] = {.iov_base = buffers[i].data(), .iov_len = DatagramBufferSize};
     headers[i].msg_hdr.msg_iov = &vectors[i];
     headers[i].msg_hdr.msg_iovlen = 1;
     headers[i].msg_hdr.msg_name = &senders[i];
   }
-  pollfd waiting{.fd = Socket.get(), .events = POLLIN};
+  pollfd readable{.fd = Socket.get(), .events = POLLIN};
   while (!Stopping) {
     for (mmsghdr &it : headers)
       it.msg_hdr.msg_namelen = sizeof(sockaddr_in);
-    int n = ::recvmmsg(Socket.get(), headers.data(), ReceiveBatch, 0, nullptr);
+    int n =
+        ::recvmmsg(Socket.get(), headers.data(), ReceiveBatchSize, 0, nullptr);
     if (n <= 0) {
-      ::poll(&waiting, 1, PollTimeoutMs);
+      ::poll(&readable, 1, PollTimeoutMs);
       continue;
     }
     Counters.PacketsReceived += static_cast<uint64_t>(n);
     EventBatch batch;
     batch.reserve(static_cast<size_t>(n));
     for (int i = 0; i < n; ++i) {
-      QByteArray datagram(room[i].data(), headers[i].msg_len);
+      QByteArray datagram(buffers[i].data(), headers[i].msg_len);
       auto event =
           decodeDatagram(std::move(datagram), fromSockaddr(senders[i]), Key);
       if (event)
@@ -138,7 +141,7 @@
   while (done < Pending.size()) {
     int n = ::sendmmsg(Socket.get(), &headers[done],
                        static_cast<unsigned>(Pending.size() - done), 0);
-    // One datagram that can't be sent must not hold up the rest.
+    // Skip a datagram that can't be sent, so that it doesn't block the rest.
     done += n > 0 ? static_cast<size_t>(n) : 1;
   }
   Pending.clear();
--- a/lib/daemon/PacketIo.h
+++ b/lib/daemon/PacketIo.h
@@ -1,7 +1,8 @@
-// The packet edge: datagrams in, events out, and the way back.
+// Packet input and output: turns received datagrams into events for the core
+// and sends the datagrams of its actions.
 //
-// This is the one module that knows both the wire format of packets and the
-// socket. Another framing replaces this module; the core does not see it.
+// Only this module knows both the wire format of packets and the socket.
+// Another framing needs changes here alone; the core does not depend on it.
 
 #ifndef CHICORYBANK_LIB_DAEMON_PACKETIO_H
 #define CHICORYBANK_LIB_DAEMON_PACKETIO_H
@@ -16,11 +17,11 @@
 
 namespace chicory {
 
-/// Turns one datagram into an event. Fails with the reason to count.
+/// Decodes one datagram into an event. An error is the reason to count.
 tl::expected<Event, Reason> decodeDatagram(QByteArray datagram, Address from,
                                            const PeerKey &key);
 
-/// Reads datagrams on a thread of its own.
+/// Receives datagrams on a separate thread.
 class PacketReceiver {
 public:
   PacketReceiver(const FileDescriptor &socket, const PeerKey &key,
@@ -42,15 +43,15 @@
   std::thread Worker;
 };
 
-/// Collects datagrams and sends them with few system calls. Used by the core's
-/// thread only.
+/// Collects datagrams and sends them in batches, with few system calls. Used by
+/// the core's thread only.
 class PacketSender {
 public:
   explicit PacketSender(const FileDescriptor &socket) : Socket(socket) {}
 
   void add(Address to, QByteArray datagram);
-  /// Sends what was collected. What the socket does not take is dropped, as a
-  /// network would.
+  /// Sends the collected datagrams. Drops those that the socket does not
+  /// accept, as a network may do.
   void flush();
 
 private:
--- a/lib/daemon/PlatformWorker.cpp
+++ b/lib/daemon/PlatformWorker.cpp
@@ -12,8 +12,8 @@
 constexpr Duration RetryMax = std::chrono::seconds(5);
 constexpr uint64_t MaxDoublings = 5;
 
-/// Doubles with each failure, with jitter: after an outage of the platform all
-/// instances come back, and must not come in step.
+/// Returns an exponential back-off with jitter. Without jitter, all instances
+/// would retry at the same moment after an outage of the platform.
 Duration backOff(uint64_t failures) {
   static thread_local std::minstd_rand random(std::random_device{}());
   Duration base = RetryMin * (1 << std::min(failures, MaxDoublings));
@@ -68,15 +68,15 @@
   auto instances = Reader->list(keys::Instances);
   if (!instances)
     return false;
-  InstancesDiscovered named;
+  InstancesDiscovered discovered;
   for (const KeyValue &it : *instances) {
     auto info = decodeInstance(it.Value);
     if (info)
-      named.Instances.push_back(*info);
+      discovered.Instances.push_back(*info);
     else
       Counters.refuse(info.error());
   }
-  if (!Rings.PlatformReader.try_enqueue(named))
+  if (!Rings.PlatformReader.try_enqueue(discovered))
     Counters.refuse(Reason::RingFull);
   for (const char *key : {keys::Members, keys::Manifest}) {
     ++Calls;
@@ -115,7 +115,7 @@
   PageStore pages = Store.pages();
   ++Calls;
   if (!RuleRegistry(service).fetchPages(*manifest, pages))
-    return; // Read again after the pause that follows.
+    return; // The manifest is read again after the next pause.
   auto rules = Store.learn(*manifest, pages);
   if (!rules)
     return Counters.refuse(rules.error());
@@ -124,9 +124,9 @@
     Counters.refuse(Reason::RingFull);
 }
 
-/// Rules that were accepted stay in force, and stay stored, where the platform
-/// was restored from an older copy. What is written here is read again by the
-/// watch; of several watchers the first one's write holds.
+/// Keeps accepted rules in force and stored after the platform was restored
+/// from an older copy. The watch reads back what is written here. Where several
+/// watchers write, the first write succeeds and the others have no effect.
 void PlatformWorker::repairRules(const RuleManifest &stored,
                                  KeyValueService &service) {
   StoredRules state = Store.compare(stored);
@@ -196,8 +196,8 @@
          .ExpectedRevision = revision,
          .Puts = {{.Key = keys::Members, .Value = encodeMembers(document)}}});
   }
-  // Whether the swap took place, lost a race or lost its answer: what stands
-  // in the platform now is what counts.
+  // Read the stored document whether the swap succeeded, lost a race or lost
+  // its response: the value in the platform is authoritative.
   ++Calls;
   auto now = Writer->get(keys::Members);
   if (now && !now->empty())
--- a/lib/daemon/PlatformWorker.h
+++ b/lib/daemon/PlatformWorker.h
@@ -1,4 +1,4 @@
-// The two threads that talk to the platform: one reads and watches, one writes.
+// The two threads that call the platform: one reads and watches, one writes.
 
 #ifndef CHICORYBANK_LIB_DAEMON_PLATFORMWORKER_H
 #define CHICORYBANK_LIB_DAEMON_PLATFORMWORKER_H
@@ -13,11 +13,12 @@
 
 namespace chicory {
 
-/// Keeps the core informed of the platform's values and writes for it.
+/// Delivers the platform's values to the core and writes members documents for
+/// it.
 ///
-/// A waiting watch counts as a call of the platform, so only few instances of
-/// a zone watch (`setWatching`); the others hear of changes from these by
-/// heartbeat, and read the platform now and then in case they do not.
+/// An open watch counts as a call to the platform, so only a few instances of a
+/// zone watch (`setWatching`). The others learn of changes from the heartbeats
+/// of these instances, and also poll the platform in case they miss one.
 class PlatformWorker {
 public:
   PlatformWorker(const Settings &settings, RuleStore &store, CoreRings &rings,
@@ -26,11 +27,11 @@
 
   void start();
   void stop();
-  /// Whether this instance is one of the watchers of its zone.
+  /// Sets whether this instance watches the platform for its zone.
   void setWatching(bool watching) { Watching = watching; }
-  /// Asks for a write; replaces one that has not begun.
+  /// Queues a document to write; replaces a queued one that has not been begun.
   void write(const MembersDocument &document);
-  /// How many calls failed since the last that did not.
+  /// Returns how many reads have failed since the last successful one.
   uint64_t consecutiveFailures() const { return Failures; }
   uint64_t calls() const { return Calls; }
 
--- a/lib/daemon/RuleStore.h
+++ b/lib/daemon/RuleStore.h
@@ -1,4 +1,4 @@
-// The rule set that this instance holds, for itself and for its peers.
+// The rule set that this instance stores for itself and for its peers.
 
 #ifndef CHICORYBANK_LIB_DAEMON_RULESTORE_H
 #define CHICORYBANK_LIB_DAEMON_RULESTORE_H
@@ -11,40 +11,43 @@
 
 namespace chicory {
 
-/// How the version that the platform shows stands to those held here.
+/// How the version stored in the platform relates to those known here.
 enum class StoredRules : uint8_t {
-  Current, ///< The newest one, or one that this instance knows nothing about.
-  Lost,    ///< One that was replaced: the platform has lost what came after it.
-  Reused,  ///< Other rules under a number that was given out before.
+  Current, ///< The newest version, or one that this instance doesn't know.
+  Lost,    ///< A replaced version: the platform has lost its successors.
+  Reused,  ///< Other rules under a version number that was used before.
 };
 
-/// Pages of the newest version. Used by several threads.
+/// The manifest and pages of the newest version. Thread-safe.
 class RuleStore {
 public:
-  /// Takes in a version. Returns it compiled; null for one that is not newer.
-  /// Fails where a page is missing or damaged.
+  /// Stores a version and returns it compiled, or null if it is not newer than
+  /// the stored one. Fails if a page is missing or damaged.
   tl::expected<CompiledRulesPtr, Reason> learn(const RuleManifest &manifest,
                                                const PageStore &pages);
-  /// A platform that was restored from an older copy shows a former version,
-  /// and gives its successors' numbers to other rules. Only versions that were
-  /// held here tell the two apart from a version that is merely unknown.
+  /// Compares the platform's version with those known here. A platform that was
+  /// restored from an older copy returns an earlier version, and assigns the
+  /// numbers of its lost successors to other rules. Only versions that were
+  /// stored here distinguish these two cases from a version that is merely
+  /// unknown.
   StoredRules compare(const RuleManifest &stored) const;
-  /// The newest version, and the pages that are known.
+  /// The newest version, its manifest and its pages.
   RuleVersion version() const;
   RuleManifest manifest() const;
   PageStore pages() const;
-  /// What a peer that asks lacks.
+  /// Returns the manifest and the pages that the requesting peer lacks.
   RuleDocument documentFor(const RuleRequest &request) const;
-  /// The question to a peer.
+  /// Makes a request to a peer that lists the pages stored here.
   RuleRequest makeRequest(const InstanceInfo &self) const;
 
 private:
   mutable std::mutex Lock;
-  /// So many of the last versions are told apart by their submissions.
+  /// How many of the newest versions are remembered with their submission ids.
   static constexpr size_t MaxSubmissions = 16;
 
   RuleManifest Manifest;
   PageStore Pages;
+  /// The submission id of each remembered version.
   std::map<RuleVersion, std::string> Submissions;
 };
 
--- a/lib/daemon/Settings.cpp
+++ b/lib/daemon/Settings.cpp
@@ -18,7 +18,7 @@
 constexpr std::array<std::string_view, 4> LogLevels = {"debug", "info",
                                                        "warning", "error"};
 
-/// Reads the parts of a settings file.
+/// Reads the tables of a settings file.
 class SettingsReader {
 public:
   SettingsReader(std::string file, Findings &findings)
@@ -27,7 +27,7 @@
   Settings read(const toml::table &root);
 
 private:
-  /// Reads one table with `part`; a missing required table is a finding.
+  /// Reads one table with `part`. Reports a missing table that is required.
   template <typename Part>
   void section(TomlReader &root, const char *name, bool required, Part part);
   void readInstance(TomlReader &reader);
@@ -62,7 +62,7 @@
   out.Id.Value = static_cast<uint32_t>(
       reader.number("id", 0, {.Least = 1, .Most = UINT32_MAX}));
   if (out.Id == InstanceId{})
-    reader.fault("id", "a number above zero is needed");
+    reader.fault("id", "expected a number above zero");
   out.Zone = reader.requiredText("zone");
   out.Packets = reader.address("packets", true);
   out.Peers = reader.address("peers", true);
@@ -154,7 +154,8 @@
 
 void SettingsReader::checkTimes(TomlReader &reader) {
   const CoreOptions &core = Out.Core;
-  // With fewer than two heartbeats in each span one lost packet is a fault.
+  // If a span holds fewer than two heartbeats, a single lost packet makes a
+  // peer suspect or ends a lease.
   if (core.Membership.SuspectAfter < core.Membership.HeartbeatInterval * 2)
     reader.fault("suspect_after", "must be at least twice heartbeat");
   if (core.Ownership.LeaseTime < core.Membership.HeartbeatInterval * 2)
