--- a/include/chicorybank/store/KeyValue.h
+++ b/include/chicorybank/store/KeyValue.h
@@ -1,9 +1,9 @@
-// The platform's key-value service, as an interface and as a client.
+// The interface of the platform's key-value service, and a client for it.
 //
 // The client speaks the published JSON form of the etcd v3 API over HTTP/1.1:
 // /v3/kv/range, /v3/kv/txn, /v3/kv/put, /v3/kv/deleterange, /v3/lease/grant,
-// /v3/lease/keepalive and /v3/watch. It is used for nothing but that service;
-// chicorybank runs no store of its own.
+// /v3/lease/keepalive and /v3/watch. The client is used only with that
+// service; chicorybank runs no store itself.
 
 #ifndef CHICORYBANK_STORE_KEYVALUE_H
 #define CHICORYBANK_STORE_KEYVALUE_H
@@ -20,18 +20,18 @@
 
 namespace chicory {
 
-/// Why a call has no result.
+/// Why a call failed.
 enum class PlatformError : uint8_t {
-  Unreachable, ///< It was not sent, or was refused before it had any effect.
-  Unknown,     ///< The answer was lost: it may have taken effect.
-  Limited,     ///< The service asks for fewer calls; it had no effect.
-  BadResponse, ///< The answer can't be read; it may have taken effect.
+  Unreachable, ///< Not sent, or refused before it had any effect.
+  Unknown,     ///< The response was lost; the call may have taken effect.
+  Limited,     ///< Refused by the rate limit; it had no effect.
+  BadResponse, ///< The response is invalid; the call may have taken effect.
 };
 
-/// A word for logs and for operators.
+/// Returns the name of an error for logs and operators.
 std::string_view platformErrorName(PlatformError error);
 
-/// A key and its value as of one revision.
+/// A key and its value at one revision.
 struct KeyValue {
   std::string Key;
   QByteArray Value;
@@ -45,7 +45,8 @@
   QByteArray Value;
 };
 
-/// Writes all of `Puts`, if the key still has this revision (zero: is absent).
+/// Writes all of `Puts` in one transaction if `Key` still has the expected
+/// revision. Zero expects the key to be absent.
 struct CompareAndSwap {
   std::string Key;
   int64_t ExpectedRevision = 0;
@@ -54,36 +55,40 @@
 
 template <typename T> using PlatformResult = tl::expected<T, PlatformError>;
 
-/// The service as the rest of chicorybank sees it. Calls block.
+/// The key-value service. Calls block.
 class KeyValueService {
 public:
   virtual ~KeyValueService() = default;
-  /// The values of one key, or of every key with a prefix.
+  /// Returns the value of one key; an empty list if the key is absent.
   virtual PlatformResult<std::vector<KeyValue>> get(const std::string &key) = 0;
+  /// Returns every key with a prefix.
   virtual PlatformResult<std::vector<KeyValue>>
   list(const std::string &prefix) = 0;
-  /// True where the swap took place.
+  /// Returns whether the swap took place.
   virtual PlatformResult<bool> swap(const CompareAndSwap &swap) = 0;
-  /// Writes without a condition; safe to repeat.
+  /// Writes unconditionally; idempotent.
   virtual PlatformResult<void> put(const KeyValuePut &put) = 0;
   virtual PlatformResult<void> remove(const std::string &key) = 0;
-  /// Calls `changed` for each change below a prefix until it returns false, the
-  /// connection is lost, or `interrupt` is called from another thread.
+  /// Calls `changed` for each change of a key with this prefix, until `changed`
+  /// returns false, the connection is lost or another thread calls `interrupt`.
   virtual PlatformResult<void>
   watch(const std::string &prefix,
         const std::function<bool(const KeyValue &)> &changed) = 0;
+  /// Ends `watch` and calls in progress. May be called from any thread.
   virtual void interrupt() = 0;
 };
 
 /// Options of the client.
 struct PlatformClientOptions {
   std::vector<Address> Servers;
-  /// The source address, so that the platform's network can tell who calls.
+  /// The source address of calls, by which the platform's network identifies
+  /// the caller. Zero lets the system choose it.
   uint32_t SourceIp = 0;
   Duration Timeout = std::chrono::seconds(2);
 };
 
-/// A client of the real service. Each thread needs one of its own.
+/// Makes a client for the platform's service. A client must not be shared
+/// between threads.
 std::unique_ptr<KeyValueService>
 makePlatformClient(const PlatformClientOptions &options);
 
--- a/include/chicorybank/store/RuleRegistry.h
+++ b/include/chicorybank/store/RuleRegistry.h
@@ -1,5 +1,5 @@
-// Where rule sets, members documents and instances stand in the platform, and
-// how they are read and replaced.
+// The keys and formats of rule sets, members documents and instances in the
+// platform, and how rule sets are read and replaced.
 
 #ifndef CHICORYBANK_STORE_RULEREGISTRY_H
 #define CHICORYBANK_STORE_RULEREGISTRY_H
@@ -12,7 +12,7 @@
 
 namespace chicory {
 
-/// The keys. Everything of chicorybank is below one prefix.
+/// The keys. All keys that chicorybank writes have the prefix `Root`.
 namespace keys {
 inline constexpr const char *Root = "chicorybank/";
 inline constexpr const char *Manifest = "chicorybank/rules/manifest";
@@ -23,29 +23,29 @@
 inline constexpr const char *Instances = "platform/instances/";
 } // namespace keys
 
-/// How many versions `RuleRegistry` keeps readable.
+/// How many of the newest versions `RuleRegistry` keeps.
 inline constexpr uint64_t VersionsKept = 16;
 
-/// The submission is in force from now on.
+/// The submission was accepted and is now in force.
 struct Accepted {
   RuleVersion Version;
 };
-/// Another submission came first; nothing was changed.
+/// Another submission was accepted first; nothing was changed.
 struct Conflict {
   RuleVersion Current;
 };
-/// It can't be told whether it took effect. Repeat it with the same id.
+/// Whether the submission took effect is unknown. Repeat it with the same id.
 struct OutcomeUnknown {
   PlatformError Why;
 };
-/// It had no effect: the service is not to be reached.
+/// The submission had no effect, because a call to the service failed.
 struct NotSubmitted {
   PlatformError Why;
 };
 using SubmitOutcome =
     std::variant<Accepted, Conflict, OutcomeUnknown, NotSubmitted>;
 
-/// Reads and replaces rule sets. Blocks like the service below it.
+/// Reads and replaces rule sets. Calls block, like those of the service.
 ///
 ///   RuleRegistry registry(service);
 ///   SubmitOutcome outcome = registry.submit(rules, std::nullopt);
@@ -53,27 +53,27 @@
 public:
   explicit RuleRegistry(KeyValueService &service) : Service(service) {}
 
-  /// Replaces the current rule set by one with the next version. `rules`
-  /// carries a submission id of its own: a repeat with the same id finds that
-  /// it was accepted before and changes nothing. With `ifVersion` only that
-  /// version is replaced.
+  /// Replaces the current rule set by `rules`, with the next version number.
+  /// The submission id in `rules` makes this idempotent: repeating an accepted
+  /// submission changes nothing. With `ifVersion`, replaces only that version.
   SubmitOutcome submit(RuleSet rules, std::optional<RuleVersion> ifVersion);
-  /// The current manifest; nothing where there is none yet.
+  /// Returns the current manifest, or nothing if there is none yet.
   PlatformResult<std::optional<RuleManifest>> currentManifest();
-  /// The manifest of one of the last versions.
+  /// Returns the manifest of a version, or nothing if it is no longer kept.
   PlatformResult<std::optional<RuleManifest>> manifestOf(RuleVersion version);
-  /// The manifests of the last versions, the oldest first.
+  /// Returns the manifests of the versions that are kept, oldest first.
   PlatformResult<std::vector<RuleManifest>> history();
-  /// Writes a rule set that was in force, pages and all, where the service has
-  /// lost it and still shows the older `stored` one. True: it stands there now.
+  /// Writes back a rule set, with its pages, that was in force and that the
+  /// service has lost, if the older `stored` one is still current there.
+  /// Returns whether it was written.
   PlatformResult<bool> restoreVersion(const RuleManifest &stored,
                                       const RuleManifest &manifest,
                                       const PageStore &pages);
-  /// The current rule set was accepted under a version number that had been
-  /// given out before. It gets the next number after `highest`. True: it did.
+  /// Gives the current rule set the number after `highest`, because its own
+  /// number had already been used for another one. Returns whether it did.
   PlatformResult<bool> renumber(const RuleManifest &current,
                                 RuleVersion highest);
-  /// Reads the pages of a manifest that `pages` lacks.
+  /// Reads those pages of a manifest that `pages` lacks, and adds them.
   PlatformResult<void> fetchPages(const RuleManifest &manifest,
                                   PageStore &pages);
 
@@ -83,25 +83,30 @@
     int64_t Revision = 0;
   };
   PlatformResult<Current> current();
-  /// Writes a manifest and its place in the history, along with `puts`, where
-  /// the present manifest still has this revision.
+  /// Writes a manifest, its history entry and `puts` in one transaction, if the
+  /// current manifest still has the revision `expected`.
   PlatformResult<bool> replaceManifest(const RuleManifest &next,
                                        int64_t expected,
                                        std::vector<KeyValuePut> puts);
+  /// Looks for a submission in the history. Returns nothing if it is not there,
+  /// and NotSubmitted if the history can't be read.
   std::optional<SubmitOutcome> findAccepted(const std::string &submissionId);
+  /// Removes versions that are no longer kept, and pages that only they use.
   void removeOldVersions(RuleVersion newest);
 
   KeyValueService &Service;
 };
 
-/// The key of a page.
+/// Returns the key of a page.
 std::string pageKey(PageId id);
 
-/// The members document as a value, and back; fails with BadPlatformValue.
+/// Encode and decode the members document (CBOR). Decoding fails with
+/// BadPlatformValue.
 QByteArray encodeMembers(const MembersDocument &document);
 tl::expected<MembersDocument, Reason> decodeMembers(const QByteArray &bytes);
 
-/// An entry of the platform's list of instances (JSON), and back.
+/// Encode and decode an entry of the platform's list of instances (JSON).
+/// Decoding fails with BadPlatformValue.
 QByteArray encodeInstance(const InstanceInfo &info);
 tl::expected<InstanceInfo, Reason> decodeInstance(const QByteArray &bytes);
 
--- a/lib/store/KeyValue.cpp
+++ b/lib/store/KeyValue.cpp
@@ -13,8 +13,9 @@
 constexpr int StatusOk = 200;
 constexpr int StatusTooManyRequests = 429;
 constexpr int StatusUnavailable = 503;
-// A watch without changes sends nothing; the service pings in this time.
-constexpr time_t WatchReadSeconds = 30;
+// A watch without changes receives nothing else, but the service sends a ping
+// within this time.
+constexpr time_t WatchReadTimeoutSeconds = 30;
 
 QString encoded(const QByteArray &bytes) {
   return QString::fromLatin1(bytes.toBase64());
@@ -28,7 +29,7 @@
   return QByteArray::fromBase64(value.toString().toLatin1());
 }
 
-/// The first key that is behind all keys with this prefix.
+/// Returns the first key after all keys with this prefix.
 std::string prefixEnd(std::string prefix) {
   while (!prefix.empty() && prefix.back() == '\xff')
     prefix.pop_back();
@@ -37,7 +38,7 @@
   return prefix;
 }
 
-/// JSON numbers of 64 bits are strings in this API.
+/// Reads a number. This API writes 64-bit numbers as JSON strings.
 int64_t number(const QJsonValue &value) {
   return value.isString() ? value.toString().toLongLong() : value.toInteger();
 }
@@ -92,7 +93,7 @@
 
   PlatformClientOptions Options;
   std::vector<std::unique_ptr<httplib::Client>> Clients;
-  /// The server that answered last; tried first.
+  /// The server that responded last; it is tried first.
   size_t Preferred = 0;
   std::mutex WatchLock;
   std::shared_ptr<httplib::Client> Watching;
@@ -127,15 +128,15 @@
         return tl::make_unexpected(PlatformError::Limited);
       if (result->status == StatusUnavailable)
         return tl::make_unexpected(PlatformError::Unreachable);
-      QJsonDocument answer =
+      QJsonDocument response =
           QJsonDocument::fromJson(QByteArray::fromStdString(result->body));
-      if (result->status != StatusOk || !answer.isObject())
+      if (result->status != StatusOk || !response.isObject())
         return tl::make_unexpected(PlatformError::BadResponse);
-      return answer.object();
+      return response.object();
     }
     error = toPlatformError(result.error());
-    // A call that may have taken effect is not repeated at another server:
-    // the caller has to find out first.
+    // A call that may have taken effect is not repeated at another server: the
+    // code that called must first find out whether it did.
     if (error != PlatformError::Unreachable)
       break;
   }
@@ -144,9 +145,9 @@
 
 PlatformResult<std::vector<KeyValue>>
 PlatformClient::range(const QJsonObject &body) {
-  return call("/v3/kv/range", body).map([](const QJsonObject &answer) {
+  return call("/v3/kv/range", body).map([](const QJsonObject &response) {
     std::vector<KeyValue> out;
-    const QJsonArray list = answer["kvs"].toArray();
+    const QJsonArray list = response["kvs"].toArray();
     for (const auto &it : list)
       out.push_back(readKeyValue(it.toObject()));
     return out;
@@ -165,8 +166,8 @@
                       {"mod_revision", QString::number(swap.ExpectedRevision)}};
   return call("/v3/kv/txn",
               {{"compare", QJsonArray{compare}}, {"success", writes}})
-      .map([](const QJsonObject &answer) {
-        return answer["succeeded"].toBool();
+      .map([](const QJsonObject &response) {
+        return response["succeeded"].toBool();
       });
 }
 
@@ -177,7 +178,7 @@
                      {"range_end", encoded(prefixEnd(prefix))}};
   std::shared_ptr<httplib::Client> client =
       makeClient(Options.Servers[Preferred]);
-  client->set_read_timeout(WatchReadSeconds);
+  client->set_read_timeout(WatchReadTimeoutSeconds);
   {
     std::lock_guard lock(WatchLock);
     Watching = client;
--- a/lib/store/RuleRegistry.cpp
+++ b/lib/store/RuleRegistry.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// The service takes 128 writes in a transaction by default.
+// By default the service accepts at most 128 writes in one transaction.
 constexpr size_t MaxPagesPerSwap = 100;
 
 std::string historyKey(RuleVersion version) {
-  // Fixed width, so that the keys sort like the versions.
+  // Fixed width, so that the keys sort by version.
   return keys::History +
          QString::number(version.Value).rightJustified(20, '0').toStdString();
 }
@@ -26,7 +26,7 @@
   return out;
 }
 
-/// The pages that a manifest does not name yet.
+/// Returns writes for the pages that the current manifest does not contain.
 std::vector<KeyValuePut> newPages(const PageStore &pages,
                                   const RuleManifest &current) {
   std::vector<PageId> known = current.allPages();
@@ -159,7 +159,8 @@
 
 SubmitOutcome RuleRegistry::submit(RuleSet rules,
                                    std::optional<RuleVersion> ifVersion) {
-  // A repeat of a submission whose answer was lost must not take effect twice.
+  // A submission that is repeated after a lost response must not take effect
+  // twice.
   if (auto earlier = findAccepted(rules.SubmissionId))
     return *earlier;
   auto before = current();
@@ -172,9 +173,9 @@
   rules.Version = RuleVersion{base.Value + 1};
   PageStore pages;
   RuleManifest manifest = paginate(rules, pages);
-  // New pages go with the manifest in one transaction, as far as the service
-  // takes them. The rest go first: pages have no effect until a manifest names
-  // them, so a failure half-way leaves nothing half-applied.
+  // New pages are written with the manifest in one transaction, up to its size
+  // limit. The rest are written first. Pages have no effect until a manifest
+  // names them, so a failure in between leaves no rule set partly applied.
   std::vector<KeyValuePut> puts =
       newPages(pages, before->Manifest.value_or(RuleManifest{}));
   std::vector<KeyValuePut> early;
@@ -191,7 +192,8 @@
                     swapped.error() == PlatformError::Limited;
     if (noEffect)
       return NotSubmitted{.Why = swapped.error()};
-    // The answer was lost. The id tells whether the swap took place.
+    // The response was lost. Look for the submission id to find out whether the
+    // swap took place.
     if (auto earlier = findAccepted(rules.SubmissionId))
       if (std::holds_alternative<Accepted>(*earlier))
         return *earlier;
@@ -202,8 +204,8 @@
     bool known = now && now->Manifest;
     return Conflict{.Current = known ? now->Manifest->Version : base};
   }
-  // A clean-up by another writer may have removed an early page, because no
-  // manifest named it yet. Writing it again is harmless.
+  // Another writer's clean-up may have removed an early page while no manifest
+  // named it. Write these pages again, which is idempotent.
   for (const KeyValuePut &it : early)
     (void)Service.put(it);
   removeOldVersions(rules.Version);
@@ -227,7 +229,8 @@
   auto before = current();
   if (!before)
     return tl::make_unexpected(before.error());
-  // Whatever else stands there was accepted since, also under a lower number.
+  // Any other manifest was accepted after the restore, even if its number is
+  // lower.
   if (before->Manifest != stored)
     return false;
   std::vector<KeyValuePut> puts = newPages(pages, stored);
@@ -253,7 +256,7 @@
 }
 
 void RuleRegistry::removeOldVersions(RuleVersion newest) {
-  // Best effort: what is left over is removed after the next submission.
+  // Best effort: versions that remain are removed after the next submission.
   auto manifests = history();
   if (!manifests)
     return;
