--- a/include/chicorybank/rules/RuleFile.h
+++ b/include/chicorybank/rules/RuleFile.h
@@ -1,6 +1,6 @@
-// Rule sets as operators write them: TOML.
+// Reads and writes rule sets as TOML, the format that operators edit.
 //
-// docs/RULES.md is the schema, samples/ has files from simple to rich.
+// docs/RULES.md describes the schema; samples/ contains example files.
 
 #ifndef CHICORYBANK_RULES_RULEFILE_H
 #define CHICORYBANK_RULES_RULEFILE_H
@@ -13,7 +13,8 @@
 
 namespace chicory {
 
-/// Reads and checks a rule set. Returns nothing when there is any finding.
+/// Reads and checks a rule set. Adds every problem to `findings`, and returns
+/// nothing if there is one.
 ///
 ///   Findings findings;
 ///   std::optional<RuleSet> rules = readRuleFile(text, "a.toml", findings);
@@ -21,10 +22,10 @@
                                     const std::string &file,
                                     Findings &findings);
 
-/// The text that `readRuleFile` reads back to an equal rule set.
+/// Writes a rule set as text that `readRuleFile` reads back as an equal one.
 std::string writeRuleFile(const RuleSet &rules);
 
-/// The limits that a rule set is checked against.
+/// Limits that `readRuleFile` enforces.
 inline constexpr size_t MaxRules = 50'000;
 inline constexpr size_t MaxTargetsPerService = 512;
 
--- a/include/chicorybank/rules/RuleMatcher.h
+++ b/include/chicorybank/rules/RuleMatcher.h
@@ -1,9 +1,10 @@
-// A rule set compiled for first-match decisions.
+// A rule set compiled for first-match lookups.
 //
 // The method is tuple space search (Srinivasan, Suri, Varghese, SIGCOMM 1999):
-// rules with the same prefix lengths share one hash table, and a decision
-// looks into each table once, best rule first, until no table can hold an
-// earlier rule than the one found. docs/design/rule-matching.md weighs it.
+// rules with the same prefix lengths share one table. A lookup searches each
+// table once, in the order of their first rules, until no further table can
+// contain an earlier rule than the one found. All tables share one hash array.
+// docs/design/rule-matching.md compares this with other methods.
 
 #ifndef CHICORYBANK_RULES_RULEMATCHER_H
 #define CHICORYBANK_RULES_RULEMATCHER_H
@@ -25,17 +26,17 @@
 public:
   explicit RuleMatcher(const std::vector<Rule> &rules);
 
-  /// The index of the first rule that matches.
+  /// Returns the index of the first rule that matches, or nothing.
   std::optional<uint32_t> firstMatch(const FlowKey &key) const;
-  /// How many tables a decision may have to look into.
+  /// The highest number of tables that a lookup searches.
   size_t tupleCount() const { return Tuples.size(); }
-  /// Memory of the tables, in bytes.
+  /// The memory that the tables use, in bytes.
   size_t memoryBytes() const { return Slots.size() * sizeof(Slot); }
 
 private:
   static constexpr uint32_t NoRule = std::numeric_limits<uint32_t>::max();
 
-  /// What the rules of one table have in common.
+  /// A table: the masks that its rules share, and the first of these rules.
   struct Tuple {
     uint32_t SourceMask = 0;
     uint32_t DestinationMask = 0;
@@ -45,19 +46,20 @@
 
     bool sameMasks(const Tuple &other) const;
   };
-  /// A masked key of one table and the first rule that has it.
+  /// A masked key of one table and the first rule that has this key.
   struct Slot {
     uint64_t Addresses = 0;
     uint32_t PortAndProtocol = 0;
     uint16_t TupleIndex = 0;
     uint32_t RuleIndex = NoRule;
   };
-  /// A rule's key before it is put into the table.
+  /// A rule's masks and key before they are inserted.
   struct Entry {
     Tuple Masks;
     Slot Key;
   };
 
+  /// Returns an entry for each combination of source, destination and ports.
   static std::vector<Entry> expand(const Rule &rule, uint32_t index);
   static Slot maskedKey(const Tuple &tuple, uint16_t index, const FlowKey &key);
   uint16_t findOrAddTuple(const Tuple &masks);
--- a/include/chicorybank/rules/RulePages.h
+++ b/include/chicorybank/rules/RulePages.h
@@ -1,9 +1,10 @@
-// Rule sets as the platform and the peers carry them: a manifest and pages.
+// The form in which the platform stores rule sets and peers exchange them: a
+// manifest and pages.
 //
-// A page is a run of rules or services in CBOR and is named by the hash of its
+// A page is a sequence of rules or services in CBOR; its id is the hash of its
 // bytes. A manifest lists the pages of one version. Two versions share the
-// pages that did not change, so a change travels as the manifest and the few
-// pages that the reader lacks, and no value comes near a megabyte.
+// pages that did not change. So a change needs only the manifest and the few
+// pages that the reader lacks, and every value stays far below one megabyte.
 
 #ifndef CHICORYBANK_RULES_RULEPAGES_H
 #define CHICORYBANK_RULES_RULEPAGES_H
@@ -18,10 +19,10 @@
 
 namespace chicory {
 
-/// The name of a page: the hash of its bytes.
+/// The id of a page: the hash of its bytes.
 using PageId = StrongId<struct PageTag, uint64_t>;
 
-/// What one version consists of.
+/// The contents of one version, as a list of pages.
 struct RuleManifest {
   RuleVersion Version;
   std::string SubmissionId;
@@ -29,31 +30,33 @@
   std::vector<PageId> ServicePages;
 
   bool operator==(const RuleManifest &) const = default;
-  /// Every page, rules first.
+  /// Returns all pages, those of the rules first.
   std::vector<PageId> allPages() const;
 };
 
-/// Pages by their name.
+/// Pages by their ids.
 using PageStore = std::map<PageId, QByteArray>;
 
-/// Cuts a rule set into pages. The cuts depend on the content alone, so that
-/// an insertion changes one page and not all that follow.
+/// Splits a rule set into pages and adds them to `pages`. The page boundaries
+/// depend only on the content, so that an insertion doesn't change all the
+/// pages that follow.
 ///
 ///   PageStore pages;
 ///   RuleManifest manifest = paginate(rules, pages);
 RuleManifest paginate(const RuleSet &rules, PageStore &pages);
 
-/// Puts a rule set together. Fails where a page is missing or damaged.
+/// Assembles a rule set from its pages. Fails with BadPlatformValue if a page
+/// is missing or damaged.
 tl::expected<RuleSet, Reason> assemble(const RuleManifest &manifest,
                                        const PageStore &pages);
 
-/// The manifest as a value of the platform.
+/// Encodes a manifest as a value for the platform.
 QByteArray encodeManifest(const RuleManifest &manifest);
 
-/// The inverse of `encodeManifest`; fails with BadPlatformValue.
+/// Decodes a manifest. Fails with BadPlatformValue.
 tl::expected<RuleManifest, Reason> decodeManifest(const QByteArray &bytes);
 
-/// The name of these bytes.
+/// Returns the id of a page with these bytes.
 PageId pageIdOf(const QByteArray &bytes);
 
 } // namespace chicory
--- a/lib/rules/RuleFile.cpp
+++ b/lib/rules/RuleFile.cpp
@@ -40,7 +40,7 @@
                    .Last = static_cast<uint16_t>(*last)};
 }
 
-/// Reads one rule file. Keeps what the parts of the check share.
+/// Reads and checks one rule file.
 class RuleFileReader {
 public:
   RuleFileReader(std::string file, Findings &findings)
@@ -86,11 +86,11 @@
   service.Connections = static_cast<uint32_t>(reader.number(
       "connections", service.Connections, {.Least = 1, .Most = 1'000'000}));
   if (Rules.findService(service.Name) != nullptr)
-    reader.fault("name", "\"" + service.Name + "\" stands twice");
+    reader.fault("name", "\"" + service.Name + "\" is defined twice");
   else if (Rules.findService(service.Id) != nullptr)
     reader.fault("name", "\"" + service.Name +
-                             "\" hashes like another service's name; "
-                             "choose another");
+                             "\" has the same hash as another service's "
+                             "name; choose another name");
   for (const toml::table *it : reader.tables("targets"))
     readTarget(*it, service);
   if (service.Targets.size() > MaxTargetsPerService)
@@ -107,7 +107,7 @@
                 .Weight = static_cast<uint16_t>(reader.number(
                     "weight", 1, {.Least = 1, .Most = MaxWeight})),
                 .Drain = reader.flag("drain", false)};
-  // A target of two services would let packets of one reach the other.
+  // If two services shared a target, packets of one could reach the other.
   auto [it, fresh] = TargetOwners.emplace(target.Id, service.Name);
   if (!fresh && target.Id)
     reader.fault("address", formatAddress(target.Id) +
--- a/lib/rules/RuleMatcher.cpp
+++ b/lib/rules/RuleMatcher.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Ports that agree with `Value` in the bits of `Mask`.
+/// The ports that equal `Value` in the bits of `Mask`.
 struct PortPrefix {
   uint16_t Value = 0;
   uint16_t Mask = 0;
 };
 
-/// Cuts a range into the fewest aligned blocks of a power of two.
+/// Splits a range into the fewest aligned blocks whose sizes are powers of two.
 std::vector<PortPrefix> portPrefixes(const PortRange &range) {
   std::vector<PortPrefix> out;
   uint32_t first = range.First;
@@ -100,8 +100,8 @@
 }
 
 RuleMatcher::RuleMatcher(const std::vector<Rule> &rules) {
-  // Rules come in their order, so a tuple is created by its first rule and
-  // `Tuples` ends up sorted by `FirstRule`.
+  // Rules are added in order. So each tuple is created by its first rule, and
+  // `Tuples` is sorted by `FirstRule`.
   std::vector<Slot> keys;
   for (uint32_t i = 0; i < rules.size(); ++i) {
     for (Entry &entry : expand(rules[i], i)) {
@@ -125,7 +125,7 @@
     const Slot &it = Slots[i];
     if (it.Addresses == slot.Addresses && it.TupleIndex == slot.TupleIndex &&
         it.PortAndProtocol == slot.PortAndProtocol)
-      return; // An earlier rule has the same key and always wins.
+      return; // An earlier rule has the same key and takes precedence.
     i = (i + 1) & (Slots.size() - 1);
   }
   Slots[i] = slot;
@@ -134,12 +134,12 @@
 std::optional<uint32_t> RuleMatcher::firstMatch(const FlowKey &key) const {
   uint32_t best = NoRule;
   for (size_t n = 0; n < Tuples.size() && Tuples[n].FirstRule < best; ++n) {
-    Slot wanted = maskedKey(Tuples[n], static_cast<uint16_t>(n), key);
-    size_t i = slotIndex(wanted);
+    Slot lookupKey = maskedKey(Tuples[n], static_cast<uint16_t>(n), key);
+    size_t i = slotIndex(lookupKey);
     while (Slots[i].RuleIndex != NoRule) {
       const Slot &it = Slots[i];
-      if (it.Addresses == wanted.Addresses && it.TupleIndex == n &&
-          it.PortAndProtocol == wanted.PortAndProtocol) {
+      if (it.Addresses == lookupKey.Addresses && it.TupleIndex == n &&
+          it.PortAndProtocol == lookupKey.PortAndProtocol) {
         best = std::min(best, it.RuleIndex);
         break;
       }
--- a/lib/rules/RulePages.cpp
+++ b/lib/rules/RulePages.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// On average a page holds this many items; the cut is where an item's hash is
-// a multiple of it.
+// The average number of items in a page. A page ends after an item whose hash
+// is a multiple of this.
 constexpr uint64_t ItemsPerPage = 16;
 constexpr qsizetype MaxItemsPerPage = 64;
 
@@ -107,7 +107,7 @@
   return out;
 }
 
-/// Encodes items into pages and returns the pages' names.
+/// Encodes items into pages and returns the ids of these pages.
 template <typename Item, typename Encode>
 std::vector<PageId> splitIntoPages(const std::vector<Item> &items,
                                    Encode encode, PageStore &pages) {
@@ -125,8 +125,8 @@
   for (const Item &it : items) {
     QCborValue value = encode(it);
     page.append(value);
-    bool cut = pageIdOf(value.toCbor()).Value % ItemsPerPage == 0;
-    if (cut || page.size() >= MaxItemsPerPage)
+    bool endsPage = pageIdOf(value.toCbor()).Value % ItemsPerPage == 0;
+    if (endsPage || page.size() >= MaxItemsPerPage)
       flush();
   }
   flush();
