--- a/include/chicorybank/rules/RulePages.h
+++ b/include/chicorybank/rules/RulePages.h
@@ -38,8 +38,8 @@
 using PageStore = std::map<PageId, QByteArray>;
 
 /// Splits a rule set into pages and adds them to `pages`. The page boundaries
-/// depend only on the content, so that an insertion doesn't change all the
-/// pages that follow.
+/// depend only on the content, so that an insertion changes one page
+/// instead of all pages that follow.
 ///
 ///   PageStore pages;
 ///   RuleManifest manifest = paginate(rules, pages);
--- a/lib/store/KeyValue.cpp
+++ b/lib/store/KeyValue.cpp
@@ -13,8 +13,8 @@
 constexpr int StatusOk = 200;
 constexpr int StatusTooManyRequests = 429;
 constexpr int StatusUnavailable = 503;
-// A watch without changes receives nothing else, but the service sends a ping
-// within this time.
+// An idle watch receives only the service's pings, which arrive within this
+// time.
 constexpr time_t WatchReadTimeoutSeconds = 30;
 
 QString encoded(const QByteArray &bytes) {
--- a/tests/DaemonTest.cpp
+++ b/tests/DaemonTest.cpp
@@ -1,4 +1,5 @@
-// A whole daemon on loopback, with nobody around it.
+// A complete daemon on the loopback interface, without peers, backend servers
+// or a platform.
 
 #include "chicorybank/daemon/Daemon.h"
 
@@ -25,7 +26,7 @@
   return boundAddress(*bindUdp({.Ip = Loopback, .Port = 0}));
 }
 
-/// A daemon whose platform does not exist.
+/// Settings of a daemon whose platform does not exist.
 Settings settingsWithoutPlatform() {
   Settings out;
   out.Self = {.Id = InstanceId{1},
@@ -43,7 +44,7 @@
   return out;
 }
 
-/// The daemon on a thread of its own, stopped at the end.
+/// Runs a daemon on a separate thread and stops it in the destructor.
 class RunningDaemon {
 public:
   RunningDaemon() : Config(settingsWithoutPlatform()), Running(Config) {
@@ -74,24 +75,25 @@
 
 class DaemonTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DaemonTest);
-  CPPUNIT_TEST(survivesGarbage);
+  CPPUNIT_TEST(countsInvalidDatagrams);
   CPPUNIT_TEST(stopsWithoutAPlatform);
-  CPPUNIT_TEST(refusesATakenAddress);
+  CPPUNIT_TEST(refusesAnAddressInUse);
   CPPUNIT_TEST_SUITE_END();
 
-  // Symptom: an instance ends when a stray datagram comes.
-  void survivesGarbage() {
+  // Guards against a crash of the instance when it receives an invalid
+  // datagram.
+  void countsInvalidDatagrams() {
     RunningDaemon daemon;
     auto socket = bindUdp({.Ip = Loopback, .Port = 0});
     sockaddr_in to = toSockaddr(daemon.Config.Self.Packets);
-    std::vector<QByteArray> garbage = {"", "x", QByteArray(3000, 'x'),
+    std::vector<QByteArray> invalid = {"", "x", QByteArray(3000, 'x'),
                                        QByteArray("\x84\x01\x02", 3),
                                        QByteArray("\x8d\x07\x01", 3)};
-    for (const QByteArray &it : garbage)
+    for (const QByteArray &it : invalid)
       ::sendto(socket->get(), it.constData(), static_cast<size_t>(it.size()), 0,
                reinterpret_cast<sockaddr *>(&to), sizeof(to));
     std::string metrics;
-    // Bounds a broken run only.
+    // Limits the wait if the daemon doesn't count the datagrams.
     for (int n = 0; n < 1000; ++n) {
       metrics = daemon.get("/metrics");
       if (metrics.find("reason=\"bad_version\"} 1") != std::string::npos)
@@ -99,17 +101,17 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
     expectTrue(metrics.find("reason=\"bad_version\"} 1") != std::string::npos,
-               "the other version is counted");
+               "the datagram of another version is counted");
     expectTrue(metrics.find("reason=\"bad_packet\"} 3") != std::string::npos,
                "the three unreadable packets are counted");
     expectTrue(metrics.find("reason=\"bad_peer_message\"} 1") !=
                    std::string::npos,
-               "so is the message that claims to come from a peer");
-    section("bad questions get an answer", [&] {
+               "the invalid peer message is counted");
+    section("an invalid flow gets an error message", [&] {
       expectTrue(
           daemon.get("/explain?flow=nonsense").find("expected IP:port") !=
               std::string::npos,
-          "what is expected");
+          "it states the expected format");
     });
   }
 
@@ -118,7 +120,7 @@
     daemon.stop();
   }
 
-  void refusesATakenAddress() {
+  void refusesAnAddressInUse() {
     RunningDaemon first;
     Settings second = settingsWithoutPlatform();
     second.ListenPackets = first.Config.ListenPackets;
@@ -126,7 +128,7 @@
     auto started = daemon.start();
     expectTrue(!started.has_value(), "it does not start");
     expectTrue(started.error().find("bind") != std::string::npos,
-               "it says why: " + started.error());
+               "the error names the failed call: " + started.error());
   }
 };
 
--- a/tests/RuleFileTest.cpp
+++ b/tests/RuleFileTest.cpp
@@ -19,7 +19,7 @@
   return findings.text();
 }
 
-constexpr const char *Good = R"([[services]]
+constexpr const char *ValidRules = R"([[services]]
 name = "records"
 [[services.targets]]
 address = "10.0.0.1:80"
@@ -36,22 +36,22 @@
   CPPUNIT_TEST_SUITE(RuleFileTest);
   CPPUNIT_TEST(readsAFile);
   CPPUNIT_TEST(reportsEveryFindingWithItsPlace);
-  CPPUNIT_TEST(refusesATargetOfTwoServices);
+  CPPUNIT_TEST(rejectsATargetOfTwoServices);
   CPPUNIT_TEST(readsBackWhatItWrites);
   CPPUNIT_TEST(readsAllSamples);
   CPPUNIT_TEST_SUITE_END();
 
   void readsAFile() {
     Findings findings;
-    auto rules = readRuleFile(Good, "r.toml", findings);
+    auto rules = readRuleFile(ValidRules, "r.toml", findings);
     expectEqual<std::string>("", findings.text());
     expectEqual<size_t>(1, rules->Services[0].Targets.size());
     expectTrue(rules->Rules[0].Service == rules->Services[0].Id,
-               "the rule names the service");
+               "the rule refers to the service");
   }
 
   void reportsEveryFindingWithItsPlace() {
-    section("several faults in one file", [] {
+    section("several errors in one file", [] {
       std::string text = findingsOf(R"([[services]]
 name = "records"
 slots = 0
@@ -77,19 +77,19 @@
     });
     section("broken syntax", [] {
       expectTrue(findingsOf("[[rules").starts_with("r.toml:1:"),
-                 "the finding has a line");
+                 "the finding has a line number");
     });
-    section("nothing at all", [] {
+    section("an empty file", [] {
       expectEqual<std::string>(
           "r.toml:1:1: rules: at least one rule is needed\n", findingsOf(""));
     });
   }
 
-  // Symptom: packets for records reach certificates.
-  // Sequence: a target is listed under both services.
-  // Cause: a target tells packets apart by nothing but their flow.
-  void refusesATargetOfTwoServices() {
-    std::string text = std::string(Good) + R"([[services]]
+  // Guards against packets for "records" that reach "certificates" because a
+  // target is listed under both services: a target distinguishes packets only
+  // by their flow.
+  void rejectsATargetOfTwoServices() {
+    std::string text = std::string(ValidRules) + R"([[services]]
 name = "certificates"
 [[services.targets]]
 address = "10.0.0.1:80"
@@ -97,7 +97,7 @@
 )";
     expectTrue(findingsOf(text).find("already a target of \"records\"") !=
                    std::string::npos,
-               "a finding that names the other service");
+               "the finding names the other service");
   }
 
   void readsBackWhatItWrites() {
@@ -125,7 +125,7 @@
       expectEqual<std::string>("", findingsOf(text.str()));
       ++count;
     }
-    expectTrue(count >= 3, "there are samples");
+    expectTrue(count >= 3, "at least three samples are read");
   }
 };
 
--- a/tests/RuleMatcherTest.cpp
+++ b/tests/RuleMatcherTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Few distinct values, so that rules overlap and flows hit them.
+// Few distinct values, so that rules overlap and match the flows.
 rc::Gen<Prefix> anyPrefix() {
   return rc::gen::map(
       rc::gen::pair(rc::gen::inRange<uint32_t>(0, 4),
@@ -87,7 +87,7 @@
   }
 
   void agreesWithALinearScan() {
-    property("the compiled decision is the first match of a walk", [] {
+    property("the result equals the first match of a linear scan", [] {
       auto rules = *rc::gen::container<std::vector<Rule>>(anyRule());
       RuleMatcher matcher(rules);
       for (int n = 0; n < 20; ++n) {
--- a/tests/RulePagesTest.cpp
+++ b/tests/RulePagesTest.cpp
@@ -24,8 +24,8 @@
   CPPUNIT_TEST_SUITE(RulePagesTest);
   CPPUNIT_TEST(reassemblesAnEqualRuleSet);
   CPPUNIT_TEST(sharesPagesBetweenVersions);
-  CPPUNIT_TEST(rejectsMissingAndDamagedPages);
-  CPPUNIT_TEST(survivesGarbage);
+  CPPUNIT_TEST(refusesMissingAndDamagedPages);
+  CPPUNIT_TEST(refusesInvalidBytes);
   CPPUNIT_TEST_SUITE_END();
 
   void reassemblesAnEqualRuleSet() {
@@ -34,10 +34,11 @@
     PageStore pages;
     RuleManifest manifest = paginate(rules, pages);
     auto again = assemble(manifest, pages);
-    expectTrue(again.has_value() && *again == rules, "an equal rule set");
+    expectTrue(again.has_value() && *again == rules,
+               "the assembled rule set is equal");
     auto decoded = chicory::decodeManifest(encodeManifest(manifest));
     expectTrue(decoded.has_value() && *decoded == manifest,
-               "an equal manifest");
+               "the decoded manifest is equal");
   }
 
   void sharesPagesBetweenVersions() {
@@ -45,7 +46,7 @@
     RuleSet rules = manyRules(2000);
     RuleManifest before = paginate(rules, pages);
     size_t count = pages.size();
-    section("one rule is put in at the front", [&] {
+    section("one rule is inserted at the front", [&] {
       rules.Rules.insert(rules.Rules.begin(), {.Name = "new"});
       paginate(rules, pages);
       expectTrue(pages.size() <= count + 2,
@@ -54,7 +55,7 @@
     });
   }
 
-  void rejectsMissingAndDamagedPages() {
+  void refusesMissingAndDamagedPages() {
     PageStore pages;
     RuleManifest manifest = paginate(manyRules(100), pages);
     section("a missing page", [&] {
@@ -69,8 +70,8 @@
     });
   }
 
-  void survivesGarbage() {
-    property("any bytes are refused or read, without a crash", [] {
+  void refusesInvalidBytes() {
+    property("any bytes are decoded or refused without a crash", [] {
       auto bytes = *rc::gen::arbitrary<std::string>();
       (void)chicory::decodeManifest(QByteArray::fromStdString(bytes));
       PageStore pages;
@@ -79,7 +80,7 @@
       (void)assemble({.RulePages = {id}}, pages);
       (void)assemble({.ServicePages = {id}}, pages);
     });
-    property("any cut of a page is refused", [] {
+    property("a truncated page is refused", [] {
       PageStore pages;
       RuleManifest manifest = paginate(manyRules(20), pages);
       QByteArray page = pages[manifest.RulePages[0]];
--- a/tests/RuleRegistryTest.cpp
+++ b/tests/RuleRegistryTest.cpp
@@ -1,5 +1,4 @@
-// Submitting rule sets against a fake of the platform that can fail at any
-// call.
+// Submits rule sets to a fake platform in which any call can fail.
 
 #include "chicorybank/store/RuleRegistry.h"
 
@@ -13,17 +12,17 @@
 
 namespace {
 
-/// Keys in memory, and a plan of which calls fail and how.
+/// Stores keys in memory, and fails selected calls.
 class FakeService : public KeyValueService {
 public:
   enum class Fault { None, Refused, ResponseLost };
 
-  /// The nth write from now on fails like this.
+  /// Makes the nth write from now fail with `how`.
   void failWrite(int n, Fault how) {
     FailAt = Writes + n;
     How = how;
   }
-  /// Runs right before the next swap: another writer.
+  /// Runs immediately before the next swap, to simulate another writer.
   std::function<void()> BeforeSwap;
   bool ReadsFail = false;
 
@@ -116,7 +115,7 @@
   return accepted == nullptr ? 0 : accepted->Version.Value;
 }
 
-/// The current rule set, read as an instance would read it.
+/// Reads the current rule set as an instance does.
 RuleSet readCurrent(FakeService &service) {
   RuleRegistry registry(service);
   PageStore pages;
@@ -142,8 +141,8 @@
   CPPUNIT_TEST(renumbersRulesWithAReusedNumber);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against accepted rules that go back when the service is restored
-  // from an older copy.
+  // Guards against accepted rules that are reverted when the service is
+  // restored from an older copy.
   void restoresVersionsThatTheServiceLost() {
     FakeService service;
     RuleRegistry registry(service);
@@ -152,20 +151,21 @@
     registry.submit(submission("two", 3), {});
     RuleManifest held = registry.currentManifest().value().value();
     PageStore pages;
-    expectTrue(registry.fetchPages(held, pages).has_value(), "the pages");
+    expectTrue(registry.fetchPages(held, pages).has_value(),
+               "the pages are read");
     service = copy;
     RuleManifest stored = registry.currentManifest().value().value();
     expectTrue(registry.restoreVersion(stored, held, pages).value(),
-               "it is put back");
+               "it is written back");
     expectEqual<std::string>("two", readCurrent(service).SubmissionId);
-    section("once", [&] {
+    section("a second call changes nothing", [&] {
       expectTrue(!registry.restoreVersion(stored, held, pages).value(),
-                 "it stands there");
+                 "it is stored already");
     });
-    section("and what follows gets the next number", [&] {
+    section("the next submission gets the next number", [&] {
       expectEqual<uint64_t>(3, versionOf(registry.submit(submission("x"), {})));
     });
-    section("not over a later submission", [&] {
+    section("a later submission is not overwritten", [&] {
       service = copy;
       service.BeforeSwap = [&] { registry.submit(submission("y"), {}); };
       expectTrue(!registry.restoreVersion(stored, held, pages).value_or(false),
@@ -174,12 +174,12 @@
       registry.submit(submission("three"), {});
       held.Version = RuleVersion{9};
       expectTrue(!registry.restoreVersion(stored, held, pages).value(),
-                 "nor where it has a lower number");
+                 "the later submission has a lower number");
     });
   }
 
-  // Guards against accepted rules that never come into force, since their
-  // number was in use before a restore.
+  // Guards against accepted rules that never come into force because their
+  // version number was already used before a restore.
   void renumbersRulesWithAReusedNumber() {
     FakeService service;
     RuleRegistry registry(service);
@@ -189,11 +189,13 @@
     service = copy;
     expectEqual<uint64_t>(2, versionOf(registry.submit(submission("new"), {})));
     RuleManifest stored = registry.currentManifest().value().value();
-    expectTrue(registry.renumber(stored, RuleVersion{2}).value(), "done");
+    expectTrue(registry.renumber(stored, RuleVersion{2}).value(),
+               "it gets a new number");
     RuleSet now = readCurrent(service);
     expectTrue(now.Version == RuleVersion{3} && now.SubmissionId == "new",
-               "the new rules, as version 3");
-    expectTrue(!registry.renumber(stored, RuleVersion{2}).value(), "once");
+               "the new rules are version 3");
+    expectTrue(!registry.renumber(stored, RuleVersion{2}).value(),
+               "a second call changes nothing");
   }
 
   void acceptsAndReadsBack() {
@@ -202,7 +204,7 @@
     expectEqual<uint64_t>(1, versionOf(registry.submit(submission("a"), {})));
     expectEqual<uint64_t>(2, versionOf(registry.submit(submission("b"), {})));
     expectTrue(readCurrent(service).Rules == submission("b").Rules,
-               "the rules that were submitted");
+               "the submitted rules are read back");
   }
 
   void acceptsOneOfTwoConcurrentSubmissions() {
@@ -219,16 +221,16 @@
     expectEqual<uint64_t>(2, conflict->Current.Value);
   }
 
-  // Symptom: automation submits twice and overwrites somebody's change.
-  // Sequence: the swap takes effect, its answer is lost.
-  // Cause: a lost answer looks like a failure.
+  // Guards against automation that submits twice and so overwrites someone's
+  // change. The swap takes effect, but its response is lost, which looks like a
+  // failure.
   void recognizesAcceptanceAfterALostResponse() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("a"), {});
     service.failWrite(1, FakeService::Fault::ResponseLost);
     expectEqual<uint64_t>(2, versionOf(registry.submit(submission("b"), {})));
-    section("it can't be told while reads fail too", [&] {
+    section("the outcome is unknown while reads fail too", [&] {
       service.failWrite(1, FakeService::Fault::ResponseLost);
       service.BeforeSwap = [&] { service.ReadsFail = true; };
       SubmitOutcome outcome = registry.submit(submission("c"), {});
@@ -244,14 +246,14 @@
     RuleRegistry registry(service);
     registry.submit(submission("a"), {});
     registry.submit(submission("b"), {});
-    section("a repeat finds its first acceptance and reverts nothing", [&] {
+    section("a repeat returns the first version and reverts nothing", [&] {
       expectEqual<uint64_t>(1, versionOf(registry.submit(submission("a"), {})));
       expectTrue(readCurrent(service).SubmissionId == "b", "b is in force");
     });
   }
 
   void keepsRuleSetsWholeAfterAFailedWrite() {
-    property("a failure at any write leaves the old set whole", [] {
+    property("after a failure of any write one whole set is in force", [] {
       FakeService service;
       RuleRegistry registry(service);
       registry.submit(submission("a", 50), {});
@@ -285,7 +287,7 @@
       readCurrent(service);
     }
     expectEqual<size_t>(VersionsKept, service.count(keys::History));
-    expectTrue(service.count(keys::Pages) < 200, "old pages are gone");
+    expectTrue(service.count(keys::Pages) < 200, "old pages are removed");
   }
 
   void encodesAndDecodesMembersAndInstances() {
@@ -293,15 +295,15 @@
                              .Members = {InstanceId{1}, InstanceId{2}},
                              .Previous = {InstanceId{2}}};
     expectTrue(decodeMembers(encodeMembers(document)).value() == document,
-               "an equal document");
+               "the decoded document is equal");
     InstanceInfo info{.Id = InstanceId{4},
                       .Zone = "hall-a",
                       .Packets = {.Ip = 1, .Port = 2},
                       .Peers = {.Ip = 1, .Port = 3},
                       .Admin = {.Ip = 1, .Port = 4}};
     expectTrue(decodeInstance(encodeInstance(info)).value() == info,
-               "an equal instance");
-    property("any bytes, without a crash", [] {
+               "the decoded instance is equal");
+    property("any bytes are decoded or refused without a crash", [] {
       auto bytes =
           QByteArray::fromStdString(*rc::gen::arbitrary<std::string>());
       (void)decodeMembers(bytes);
--- a/tests/RuleStoreTest.cpp
+++ b/tests/RuleStoreTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A version of rules as the platform would show it.
+/// Returns the manifest of a version as the platform stores it.
 RuleManifest makeManifest(uint64_t version, const std::string &submission,
                           PageStore &pages) {
   RuleSet rules = samples::ruleSet(version);
@@ -23,8 +23,9 @@
   CPPUNIT_TEST(distinguishesLostVersionsFromReusedNumbers);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against taking what a restored platform shows for what was accepted
-  // last, and against ignoring what was accepted since.
+  // Guards against two faults after the platform is restored from an older
+  // copy: taking the stored rules for the last accepted ones, and ignoring
+  // rules that are accepted later.
   void distinguishesLostVersionsFromReusedNumbers() {
     RuleStore store;
     PageStore pages;
@@ -36,10 +37,10 @@
     expectTrue(store.compare(first) == StoredRules::Lost, "version 5 is lost");
     expectTrue(store.compare(makeManifest(5, "c", pages)) ==
                    StoredRules::Reused,
-               "other rules under 5");
+               "other rules have the number 5");
     expectTrue(store.compare(makeManifest(3, "z", pages)) ==
                    StoredRules::Current,
-               "nobody here knows version 3");
+               "version 3 is unknown here");
     expectTrue(store.manifest() == second, "version 5 stays in force");
   }
 };
--- a/tests/SettingsTest.cpp
+++ b/tests/SettingsTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr const char *Good = R"([instance]
+constexpr const char *ValidSettings = R"([instance]
 id = 1
 zone = "gikondo"
 packets = "127.0.0.1:7000"
@@ -43,9 +43,9 @@
 
   void readsAFile() {
     Findings findings;
-    auto settings =
-        readSettings(std::string(Good) + "[times]\nheartbeat = \"250ms\"\n",
-                     "s.toml", findings);
+    auto settings = readSettings(std::string(ValidSettings) +
+                                     "[times]\nheartbeat = \"250ms\"\n",
+                                 "s.toml", findings);
     expectEqual<std::string>("", findings.text());
     expectTrue(settings->Core.Membership.HeartbeatInterval == 250ms,
                "the heartbeat is 250 ms");
@@ -54,7 +54,7 @@
 
   void reportsEveryFinding() {
     section("unknown keys, wrong units, values out of range", [] {
-      std::string text = findingsOf(std::string(Good) + R"([times]
+      std::string text = findingsOf(std::string(ValidSettings) + R"([times]
 heartbeat = "250"
 lease = "100ms"
 hartbeat = "1s"
@@ -87,7 +87,7 @@
                    it);
     });
     section("a short key", [] {
-      std::string text = Good;
+      std::string text = ValidSettings;
       text.replace(text.find("0123456789abcdef"), 16, "short");
       expectEqual<std::string>("s.toml:12:7: key: is shorter than 16 bytes\n",
                                findingsOf(text));
