--- a/tests/RuleRegistryTest.cpp
+++ b/tests/RuleRegistryTest.cpp
@@ -149,17 +149,17 @@
     registry.submit(submission("one"), {});
     FakeService copy = service;
     registry.submit(submission("two", 3), {});
-    RuleManifest held = registry.currentManifest().value().value();
+    RuleManifest latest = registry.currentManifest().value().value();
     PageStore pages;
-    expectTrue(registry.fetchPages(held, pages).has_value(),
+    expectTrue(registry.fetchPages(latest, pages).has_value(),
                "the pages are read");
     service = copy;
     RuleManifest stored = registry.currentManifest().value().value();
-    expectTrue(registry.restoreVersion(stored, held, pages).value(),
+    expectTrue(registry.restoreVersion(stored, latest, pages).value(),
                "it is written back");
     expectEqual<std::string>("two", readCurrent(service).SubmissionId);
     section("a second call changes nothing", [&] {
-      expectTrue(!registry.restoreVersion(stored, held, pages).value(),
+      expectTrue(!registry.restoreVersion(stored, latest, pages).value(),
                  "it is stored already");
     });
     section("the next submission gets the next number", [&] {
@@ -168,12 +168,13 @@
     section("a later submission is not overwritten", [&] {
       service = copy;
       service.BeforeSwap = [&] { registry.submit(submission("y"), {}); };
-      expectTrue(!registry.restoreVersion(stored, held, pages).value_or(false),
-                 "another writer was first");
+      expectTrue(
+          !registry.restoreVersion(stored, latest, pages).value_or(false),
+          "another writer was first");
       service = copy;
       registry.submit(submission("three"), {});
-      held.Version = RuleVersion{9};
-      expectTrue(!registry.restoreVersion(stored, held, pages).value(),
+      latest.Version = RuleVersion{9};
+      expectTrue(!registry.restoreVersion(stored, latest, pages).value(),
                  "the later submission has a lower number");
     });
   }
