--- a/lib/daemon/Admin.h
+++ b/lib/daemon/Admin.h
@@ -1,4 +1,5 @@
-// The HTTP side for operators: metrics and what `chicoryctl` asks for.
+// The HTTP server for operators: metrics, and the data that `chicoryctl`
+// requests.
 
 #ifndef CHICORYBANK_LIB_DAEMON_ADMIN_H
 #define CHICORYBANK_LIB_DAEMON_ADMIN_H
@@ -16,36 +17,39 @@
 
 namespace chicory {
 
-/// Figures of the threads around the core.
-struct ShellFigures {
+/// Statistics of the worker threads, for the metrics.
+struct WorkerStats {
   uint64_t ControlBytes = 0;
   uint64_t PlatformCalls = 0;
-  uint64_t PlatformFailuresInRow = 0;
+  uint64_t ConsecutivePlatformFailures = 0;
   bool Watching = false;
 };
 
 /// Serves /metrics, /status, /explain, /targets and /events.
 class AdminServer {
 public:
-  AdminServer(Address listen, CoreRings &rings, const ShellCounters &counters,
-              const Journal &journal, std::function<ShellFigures()> figures);
+  AdminServer(Address listen, CoreRings &rings, const WorkerCounters &counters,
+              const Journal &journal,
+              std::function<WorkerStats()> readWorkerStats);
   ~AdminServer();
 
-  /// Fails with a text for operators.
+  /// Binds the address and starts serving. An error is a message for operators.
   tl::expected<void, std::string> start();
   void stop();
 
 private:
+  /// Runs `task` on the core's thread. Returns nothing if the ring is full or
+  /// the core does not run the task in time.
   template <typename Result>
-  std::optional<Result> ask(std::function<Result(Core &, Time)> question);
+  std::optional<Result> runOnCore(std::function<Result(Core &, Time)> task);
   void addRoutes();
   std::string metrics();
 
   Address Listen;
   CoreRings &Rings;
-  const ShellCounters &Counters;
+  const WorkerCounters &Counters;
   const Journal &Events;
-  std::function<ShellFigures()> Figures;
+  std::function<WorkerStats()> ReadWorkerStats;
   std::unique_ptr<httplib::Server> Server;
   std::thread Worker;
 };
--- a/lib/daemon/PacketEdge.cpp
+++ b/lib/daemon/PacketIo.cpp
@@ -1,4 +1,4 @@
-#include "PacketEdge.h"
+#include "PacketIo.h"
 
 #include <array>
 #include <poll.h>
@@ -8,13 +8,15 @@
 
 namespace {
 
-constexpr size_t ReceiveBatch = 64;
-// Room for a packet and the head that another instance puts before it. A
-// longer datagram is cut off here and refused by the decoder.
-constexpr size_t DatagramRoom = 2048;
+constexpr size_t ReceiveBatchSize = 64;
+// Holds a packet and the header that another instance puts before it. A longer
+// datagram is truncated here and refused by the decoder.
+constexpr size_t DatagramBufferSize = 2048;
 constexpr int PollTimeoutMs = 100;
 
-bool passesUntouched(PacketKind kind) {
+/// Whether the head is enough to handle a packet, because its datagram is
+/// forwarded unchanged.
+bool needsHeadOnly(PacketKind kind) {
   return kind == PacketKind::Data || kind == PacketKind::Open ||
          kind == PacketKind::Close;
 }
@@ -29,7 +31,7 @@
   out.Content.Kind = head->Kind;
   out.Content.ToCaller = head->ToCaller;
   out.Content.Flow = head->Flow;
-  if (!passesUntouched(head->Kind)) {
+  if (!needsHeadOnly(head->Kind)) {
     tl::expected<Packet, Reason> whole = decodePacket(datagram);
     if (!whole)
       return tl::make_unexpected(whole.error());
@@ -56,13 +58,13 @@
     return Event(QueryArrived{.Message = *query});
   if (const auto *reply = std::get_if<FlowReply>(&*message))
     return Event(QueryArrived{.Message = *reply});
-  auto passedOn = std::get<ForwardedPacketArrived>(std::move(*message));
-  auto inner =
-      decodeInFlight(std::move(passedOn.Packet.Datagram), passedOn.Packet.From);
+  auto forwarded = std::get<ForwardedPacketArrived>(std::move(*message));
+  auto inner = decodeInFlight(std::move(forwarded.Packet.Datagram),
+                              forwarded.Packet.From);
   if (!inner)
     return tl::make_unexpected(inner.error());
-  passedOn.Packet = std::move(*inner);
-  return Event(std::move(passedOn));
+  forwarded.Packet = std::move(*inner);
+  return Event(std::move(forwarded));
 }
 
 void PacketReceiver::start() {
@@ -76,30 +78,31 @@
 }
 
 void PacketReceiver::run() {
-  std::vector<std::array<char, DatagramRoom>> room(ReceiveBatch);
-  std::array<iovec, ReceiveBatch> vectors{};
-  std::array<sockaddr_in, ReceiveBatch> senders{};
-  std::array<mmsghdr, ReceiveBatch> headers{};
-  for (size_t i = 0; i < ReceiveBatch; ++i) {
-    vectors[i] = {.iov_base = room[i].data(), .iov_len = DatagramRoom};
+  std::vector<std::array<char, DatagramBufferSize>> buffers(ReceiveBatchSize);
+  std::array<iovec, ReceiveBatchSize> vectors{};
+  std::array<sockaddr_in, ReceiveBatchSize> senders{};
+  std::array<mmsghdr, ReceiveBatchSize> headers{};
+  for (size_t i = 0; i < ReceiveBatchSize; ++i) {
+    vectors[i] = {.iov_base = buffers[i].data(), .iov_len = DatagramBufferSize};
     headers[i].msg_hdr.msg_iov = &vectors[i];
     headers[i].msg_hdr.msg_iovlen = 1;
     headers[i].msg_hdr.msg_name = &senders[i];
   }
-  pollfd waiting{.fd = Socket.get(), .events = POLLIN};
+  pollfd readable{.fd = Socket.get(), .events = POLLIN};
   while (!Stopping) {
     for (mmsghdr &it : headers)
       it.msg_hdr.msg_namelen = sizeof(sockaddr_in);
-    int n = ::recvmmsg(Socket.get(), headers.data(), ReceiveBatch, 0, nullptr);
+    int n =
+        ::recvmmsg(Socket.get(), headers.data(), ReceiveBatchSize, 0, nullptr);
     if (n <= 0) {
-      ::poll(&waiting, 1, PollTimeoutMs);
+      ::poll(&readable, 1, PollTimeoutMs);
       continue;
     }
     Counters.PacketsReceived += static_cast<uint64_t>(n);
     EventBatch batch;
     batch.reserve(static_cast<size_t>(n));
     for (int i = 0; i < n; ++i) {
-      QByteArray datagram(room[i].data(), headers[i].msg_len);
+      QByteArray datagram(buffers[i].data(), headers[i].msg_len);
       auto event =
           decodeDatagram(std::move(datagram), fromSockaddr(senders[i]), Key);
       if (event)
@@ -138,7 +141,7 @@
   while (done < Pending.size()) {
     int n = ::sendmmsg(Socket.get(), &headers[done],
                        static_cast<unsigned>(Pending.size() - done), 0);
-    // One datagram that can't be sent must not hold up the rest.
+    // Skip a datagram that can't be sent, so that it doesn't block the rest.
     done += n > 0 ? static_cast<size_t>(n) : 1;
   }
   Pending.clear();
--- a/lib/daemon/Settings.cpp
+++ b/lib/daemon/Settings.cpp
@@ -14,11 +14,11 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr qsizetype LeastSecretBytes = 16;
+constexpr qsizetype MinSecretBytes = 16;
 constexpr std::array<std::string_view, 4> LogLevels = {"debug", "info",
                                                        "warning", "error"};
 
-/// Reads the parts of a settings file.
+/// Reads the tables of a settings file.
 class SettingsReader {
 public:
   SettingsReader(std::string file, Findings &findings)
@@ -27,7 +27,7 @@
   Settings read(const toml::table &root);
 
 private:
-  /// Reads one table with `part`; a missing required table is a finding.
+  /// Reads one table with `part`. Reports a missing table that is required.
   template <typename Part>
   void section(TomlReader &root, const char *name, bool required, Part part);
   void readInstance(TomlReader &reader);
@@ -62,7 +62,7 @@
   out.Id.Value = static_cast<uint32_t>(
       reader.number("id", 0, {.Least = 1, .Most = UINT32_MAX}));
   if (out.Id == InstanceId{})
-    reader.fault("id", "a number above zero is needed");
+    reader.fault("id", "expected a number above zero");
   out.Zone = reader.requiredText("zone");
   out.Packets = reader.address("packets", true);
   out.Peers = reader.address("peers", true);
@@ -98,8 +98,8 @@
 
 void SettingsReader::readPeers(TomlReader &reader) {
   Out.PeerSecret = QByteArray::fromStdString(reader.requiredText("key"));
-  if (!Out.PeerSecret.isEmpty() && Out.PeerSecret.size() < LeastSecretBytes)
-    reader.fault("key", "is shorter than " + std::to_string(LeastSecretBytes) +
+  if (!Out.PeerSecret.isEmpty() && Out.PeerSecret.size() < MinSecretBytes)
+    reader.fault("key", "is shorter than " + std::to_string(MinSecretBytes) +
                             " bytes");
   for (const toml::table *it : reader.tables("seeds")) {
     TomlReader seed(*it, File, Faults);
@@ -109,10 +109,9 @@
 }
 
 void SettingsReader::readLimits(TomlReader &reader) {
-  auto count = [&](const char *key, size_t &value, int64_t least,
-                   int64_t most) {
+  auto count = [&](const char *key, size_t &value, int64_t min, int64_t max) {
     value = static_cast<size_t>(reader.number(key, static_cast<int64_t>(value),
-                                              {.Least = least, .Most = most}));
+                                              {.Least = min, .Most = max}));
   };
   CoreOptions &core = Out.Core;
   count("max_flows", core.Flows.MaxFlows, 100, 20'000'000);
@@ -130,9 +129,9 @@
 
 void SettingsReader::readTimes(TomlReader &reader) {
   CoreOptions &core = Out.Core;
-  auto time = [&](const char *key, Duration &value, Duration least,
-                  Duration most) {
-    value = reader.duration(key, value, least, most);
+  auto time = [&](const char *key, Duration &value, Duration min,
+                  Duration max) {
+    value = reader.duration(key, value, min, max);
   };
   time("heartbeat", core.Membership.HeartbeatInterval, milliseconds(50),
        seconds(10));
@@ -155,7 +154,8 @@
 
 void SettingsReader::checkTimes(TomlReader &reader) {
   const CoreOptions &core = Out.Core;
-  // With fewer than two heartbeats in each span one lost packet is a fault.
+  // If a span holds fewer than two heartbeats, a single lost packet makes a
+  // peer suspect or ends a lease.
   if (core.Membership.SuspectAfter < core.Membership.HeartbeatInterval * 2)
     reader.fault("suspect_after", "must be at least twice heartbeat");
   if (core.Ownership.LeaseTime < core.Membership.HeartbeatInterval * 2)
@@ -178,7 +178,7 @@
       it.fault("level", "expected debug, info, warning or error");
   });
   reader.finish();
-  Out.Platform.FromIp = Out.ListenPeers.Ip;
+  Out.Platform.SourceIp = Out.ListenPeers.Ip;
   return Out;
 }
 
--- a/lib/rules/RuleMatcher.cpp
+++ b/lib/rules/RuleMatcher.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Ports that agree with `Value` in the bits of `Mask`.
+/// The ports that equal `Value` in the bits of `Mask`.
 struct PortPrefix {
   uint16_t Value = 0;
   uint16_t Mask = 0;
 };
 
-/// Cuts a range into the fewest aligned blocks of a power of two.
+/// Splits a range into the fewest aligned blocks whose sizes are powers of two.
 std::vector<PortPrefix> portPrefixes(const PortRange &range) {
   std::vector<PortPrefix> out;
   uint32_t first = range.First;
@@ -42,7 +42,7 @@
   return out;
 }
 
-std::vector<Prefix> orAny(const std::vector<Prefix> &prefixes) {
+std::vector<Prefix> prefixesOrAny(const std::vector<Prefix> &prefixes) {
   return prefixes.empty() ? std::vector<Prefix>{Prefix{}} : prefixes;
 }
 
@@ -69,8 +69,8 @@
                                                     uint32_t index) {
   std::vector<Entry> out;
   std::vector<PortPrefix> ports = portPrefixes(rule.Ports);
-  std::vector<Prefix> destinations = orAny(rule.Destinations);
-  for (const Prefix &source : orAny(rule.Sources)) {
+  std::vector<Prefix> destinations = prefixesOrAny(rule.Destinations);
+  for (const Prefix &source : prefixesOrAny(rule.Sources)) {
     for (const Prefix &destination : destinations) {
       for (const PortPrefix &port : ports) {
         Tuple masks{.SourceMask = prefixMask(source.Length),
@@ -91,7 +91,7 @@
   return out;
 }
 
-uint16_t RuleMatcher::tupleFor(const Tuple &masks) {
+uint16_t RuleMatcher::findOrAddTuple(const Tuple &masks) {
   auto it = std::find_if(Tuples.begin(), Tuples.end(),
                          [&](const Tuple &t) { return t.sameMasks(masks); });
   if (it == Tuples.end())
@@ -100,12 +100,12 @@
 }
 
 RuleMatcher::RuleMatcher(const std::vector<Rule> &rules) {
-  // Rules come in their order, so a tuple is created by its first rule and
-  // `Tuples` ends up sorted by `FirstRule`.
+  // Rules are added in order. So each tuple is created by its first rule, and
+  // `Tuples` is sorted by `FirstRule`.
   std::vector<Slot> keys;
   for (uint32_t i = 0; i < rules.size(); ++i) {
     for (Entry &entry : expand(rules[i], i)) {
-      entry.Key.TupleIndex = tupleFor(entry.Masks);
+      entry.Key.TupleIndex = findOrAddTuple(entry.Masks);
       keys.push_back(entry.Key);
     }
   }
@@ -125,7 +125,7 @@
     const Slot &it = Slots[i];
     if (it.Addresses == slot.Addresses && it.TupleIndex == slot.TupleIndex &&
         it.PortAndProtocol == slot.PortAndProtocol)
-      return; // An earlier rule has the same key and always wins.
+      return; // An earlier rule has the same key and takes precedence.
     i = (i + 1) & (Slots.size() - 1);
   }
   Slots[i] = slot;
@@ -134,12 +134,12 @@
 std::optional<uint32_t> RuleMatcher::firstMatch(const FlowKey &key) const {
   uint32_t best = NoRule;
   for (size_t n = 0; n < Tuples.size() && Tuples[n].FirstRule < best; ++n) {
-    Slot wanted = maskedKey(Tuples[n], static_cast<uint16_t>(n), key);
-    size_t i = slotIndex(wanted);
+    Slot lookupKey = maskedKey(Tuples[n], static_cast<uint16_t>(n), key);
+    size_t i = slotIndex(lookupKey);
     while (Slots[i].RuleIndex != NoRule) {
       const Slot &it = Slots[i];
-      if (it.Addresses == wanted.Addresses && it.TupleIndex == n &&
-          it.PortAndProtocol == wanted.PortAndProtocol) {
+      if (it.Addresses == lookupKey.Addresses && it.TupleIndex == n &&
+          it.PortAndProtocol == lookupKey.PortAndProtocol) {
         best = std::min(best, it.RuleIndex);
         break;
       }
--- a/lib/rules/RulePages.cpp
+++ b/lib/rules/RulePages.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// On average a page holds this many items; the cut is where an item's hash is
-// a multiple of it.
+// The average number of items in a page. A page ends after an item whose hash
+// is a multiple of this.
 constexpr uint64_t ItemsPerPage = 16;
 constexpr qsizetype MaxItemsPerPage = 64;
 
@@ -107,10 +107,10 @@
   return out;
 }
 
-/// Encodes items into pages and returns the pages' names.
+/// Encodes items into pages and returns the ids of these pages.
 template <typename Item, typename Encode>
-std::vector<PageId> cutPages(const std::vector<Item> &items, Encode encode,
-                             PageStore &pages) {
+std::vector<PageId> splitIntoPages(const std::vector<Item> &items,
+                                   Encode encode, PageStore &pages) {
   std::vector<PageId> out;
   QCborArray page;
   auto flush = [&] {
@@ -125,8 +125,8 @@
   for (const Item &it : items) {
     QCborValue value = encode(it);
     page.append(value);
-    bool cut = pageIdOf(value.toCbor()).Value % ItemsPerPage == 0;
-    if (cut || page.size() >= MaxItemsPerPage)
+    bool endsPage = pageIdOf(value.toCbor()).Value % ItemsPerPage == 0;
+    if (endsPage || page.size() >= MaxItemsPerPage)
       flush();
   }
   flush();
@@ -187,8 +187,8 @@
 RuleManifest paginate(const RuleSet &rules, PageStore &pages) {
   return {.Version = rules.Version,
           .SubmissionId = rules.SubmissionId,
-          .RulePages = cutPages(rules.Rules, encodeRule, pages),
-          .ServicePages = cutPages(rules.Services, encodeService, pages)};
+          .RulePages = splitIntoPages(rules.Rules, encodeRule, pages),
+          .ServicePages = splitIntoPages(rules.Services, encodeService, pages)};
 }
 
 tl::expected<RuleSet, Reason> assemble(const RuleManifest &manifest,
--- a/tests/RuleRegistryTest.cpp
+++ b/tests/RuleRegistryTest.cpp
@@ -1,5 +1,4 @@
-// Submitting rule sets against a fake of the platform that can fail at any
-// call.
+// Submits rule sets to a fake platform in which any call can fail.
 
 #include "chicorybank/store/RuleRegistry.h"
 
@@ -13,17 +12,17 @@
 
 namespace {
 
-/// Keys in memory, and a plan of which calls fail and how.
+/// Stores keys in memory, and fails selected calls.
 class FakeService : public KeyValueService {
 public:
-  enum class Fault { None, Refused, AnswerLost };
+  enum class Fault { None, Refused, ResponseLost };
 
-  /// The nth write from now on fails like this.
+  /// Makes the nth write from now fail with `how`.
   void failWrite(int n, Fault how) {
     FailAt = Writes + n;
     How = how;
   }
-  /// Runs right before the next swap: another writer.
+  /// Runs immediately before the next swap, to simulate another writer.
   std::function<void()> BeforeSwap;
   bool ReadsFail = false;
 
@@ -91,7 +90,7 @@
     if (fault == Fault::Refused)
       return tl::make_unexpected(PlatformError::Unreachable);
     T result = apply();
-    if (fault == Fault::AnswerLost)
+    if (fault == Fault::ResponseLost)
       return tl::make_unexpected(PlatformError::Unknown);
     return result;
   }
@@ -116,7 +115,7 @@
   return accepted == nullptr ? 0 : accepted->Version.Value;
 }
 
-/// The current rule set, read as an instance would read it.
+/// Reads the current rule set as an instance does.
 RuleSet readCurrent(FakeService &service) {
   RuleRegistry registry(service);
   PageStore pages;
@@ -131,55 +130,58 @@
 class RuleRegistryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RuleRegistryTest);
   CPPUNIT_TEST(acceptsAndReadsBack);
-  CPPUNIT_TEST(givesARaceOneWinner);
-  CPPUNIT_TEST(findsOutWhenAnAnswerIsLost);
-  CPPUNIT_TEST(repeatsSafely);
-  CPPUNIT_TEST(neverHalfApplies);
-  CPPUNIT_TEST(refusesAnotherBaseVersion);
-  CPPUNIT_TEST(forgetsOldVersionsButNoSharedPage);
-  CPPUNIT_TEST(codesMembersAndInstances);
-  CPPUNIT_TEST(putsBackWhatARestoreLost);
-  CPPUNIT_TEST(renumbersWhatAReusedNumberHides);
+  CPPUNIT_TEST(acceptsOneOfTwoConcurrentSubmissions);
+  CPPUNIT_TEST(recognizesAcceptanceAfterALostResponse);
+  CPPUNIT_TEST(acceptsARepeatedSubmissionOnce);
+  CPPUNIT_TEST(keepsRuleSetsWholeAfterAFailedWrite);
+  CPPUNIT_TEST(rejectsAnotherBaseVersion);
+  CPPUNIT_TEST(removesOldVersionsButKeepsSharedPages);
+  CPPUNIT_TEST(encodesAndDecodesMembersAndInstances);
+  CPPUNIT_TEST(restoresVersionsThatTheServiceLost);
+  CPPUNIT_TEST(renumbersRulesWithAReusedNumber);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against accepted rules that go back when the service is restored
-  // from an older copy.
-  void putsBackWhatARestoreLost() {
+  // Guards against accepted rules that are reverted when the service is
+  // restored from an older copy.
+  void restoresVersionsThatTheServiceLost() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("one"), {});
     FakeService copy = service;
     registry.submit(submission("two", 3), {});
-    RuleManifest held = registry.currentManifest().value().value();
+    RuleManifest latest = registry.currentManifest().value().value();
     PageStore pages;
-    expectTrue(registry.fetchPages(held, pages).has_value(), "the pages");
+    expectTrue(registry.fetchPages(latest, pages).has_value(),
+               "the pages are read");
     service = copy;
     RuleManifest stored = registry.currentManifest().value().value();
-    expectTrue(registry.putBack(stored, held, pages).value(), "it is put back");
+    expectTrue(registry.restoreVersion(stored, latest, pages).value(),
+               "it is written back");
     expectEqual<std::string>("two", readCurrent(service).SubmissionId);
-    section("once", [&] {
-      expectTrue(!registry.putBack(stored, held, pages).value(),
-                 "it stands there");
+    section("a second call changes nothing", [&] {
+      expectTrue(!registry.restoreVersion(stored, latest, pages).value(),
+                 "it is stored already");
     });
-    section("and what follows gets the next number", [&] {
+    section("the next submission gets the next number", [&] {
       expectEqual<uint64_t>(3, versionOf(registry.submit(submission("x"), {})));
     });
-    section("not over a later submission", [&] {
+    section("a later submission is not overwritten", [&] {
       service = copy;
       service.BeforeSwap = [&] { registry.submit(submission("y"), {}); };
-      expectTrue(!registry.putBack(stored, held, pages).value_or(false),
-                 "another writer was first");
+      expectTrue(
+          !registry.restoreVersion(stored, latest, pages).value_or(false),
+          "another writer was first");
       service = copy;
       registry.submit(submission("three"), {});
-      held.Version = RuleVersion{9};
-      expectTrue(!registry.putBack(stored, held, pages).value(),
-                 "nor where it has a lower number");
+      latest.Version = RuleVersion{9};
+      expectTrue(!registry.restoreVersion(stored, latest, pages).value(),
+                 "the later submission has a lower number");
     });
   }
 
-  // Guards against accepted rules that never come into force, since their
-  // number was in use before a restore.
-  void renumbersWhatAReusedNumberHides() {
+  // Guards against accepted rules that never come into force because their
+  // version number was already used before a restore.
+  void renumbersRulesWithAReusedNumber() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("one"), {});
@@ -188,11 +190,13 @@
     service = copy;
     expectEqual<uint64_t>(2, versionOf(registry.submit(submission("new"), {})));
     RuleManifest stored = registry.currentManifest().value().value();
-    expectTrue(registry.renumber(stored, RuleVersion{2}).value(), "done");
+    expectTrue(registry.renumber(stored, RuleVersion{2}).value(),
+               "it gets a new number");
     RuleSet now = readCurrent(service);
     expectTrue(now.Version == RuleVersion{3} && now.SubmissionId == "new",
-               "the new rules, as version 3");
-    expectTrue(!registry.renumber(stored, RuleVersion{2}).value(), "once");
+               "the new rules are version 3");
+    expectTrue(!registry.renumber(stored, RuleVersion{2}).value(),
+               "a second call changes nothing");
   }
 
   void acceptsAndReadsBack() {
@@ -201,10 +205,10 @@
     expectEqual<uint64_t>(1, versionOf(registry.submit(submission("a"), {})));
     expectEqual<uint64_t>(2, versionOf(registry.submit(submission("b"), {})));
     expectTrue(readCurrent(service).Rules == submission("b").Rules,
-               "the rules that were submitted");
+               "the submitted rules are read back");
   }
 
-  void givesARaceOneWinner() {
+  void acceptsOneOfTwoConcurrentSubmissions() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("base"), {});
@@ -218,17 +222,17 @@
     expectEqual<uint64_t>(2, conflict->Current.Value);
   }
 
-  // Symptom: automation submits twice and overwrites somebody's change.
-  // Sequence: the swap takes effect, its answer is lost.
-  // Cause: a lost answer looks like a failure.
-  void findsOutWhenAnAnswerIsLost() {
+  // Guards against automation that submits twice and so overwrites someone's
+  // change. The swap takes effect, but its response is lost, which looks like a
+  // failure.
+  void recognizesAcceptanceAfterALostResponse() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("a"), {});
-    service.failWrite(1, FakeService::Fault::AnswerLost);
+    service.failWrite(1, FakeService::Fault::ResponseLost);
     expectEqual<uint64_t>(2, versionOf(registry.submit(submission("b"), {})));
-    section("it can't be told while reads fail too", [&] {
-      service.failWrite(1, FakeService::Fault::AnswerLost);
+    section("the outcome is unknown while reads fail too", [&] {
+      service.failWrite(1, FakeService::Fault::ResponseLost);
       service.BeforeSwap = [&] { service.ReadsFail = true; };
       SubmitOutcome outcome = registry.submit(submission("c"), {});
       expectTrue(std::holds_alternative<OutcomeUnknown>(outcome),
@@ -238,25 +242,25 @@
     });
   }
 
-  void repeatsSafely() {
+  void acceptsARepeatedSubmissionOnce() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("a"), {});
     registry.submit(submission("b"), {});
-    section("a repeat finds its first acceptance and reverts nothing", [&] {
+    section("a repeat returns the first version and reverts nothing", [&] {
       expectEqual<uint64_t>(1, versionOf(registry.submit(submission("a"), {})));
       expectTrue(readCurrent(service).SubmissionId == "b", "b is in force");
     });
   }
 
-  void neverHalfApplies() {
-    property("a failure at any write leaves the old set whole", [] {
+  void keepsRuleSetsWholeAfterAFailedWrite() {
+    property("after a failure of any write one whole set is in force", [] {
       FakeService service;
       RuleRegistry registry(service);
       registry.submit(submission("a", 50), {});
       auto n = *rc::gen::inRange(1, 60);
       bool lost = *rc::gen::arbitrary<bool>();
-      service.failWrite(n, lost ? FakeService::Fault::AnswerLost
+      service.failWrite(n, lost ? FakeService::Fault::ResponseLost
                                 : FakeService::Fault::Refused);
       SubmitOutcome outcome = registry.submit(submission("b", 3000), {});
       RuleSet current = readCurrent(service);
@@ -266,7 +270,7 @@
     });
   }
 
-  void refusesAnotherBaseVersion() {
+  void rejectsAnotherBaseVersion() {
     FakeService service;
     RuleRegistry registry(service);
     registry.submit(submission("a"), {});
@@ -276,7 +280,7 @@
         2, versionOf(registry.submit(submission("b"), RuleVersion{1})));
   }
 
-  void forgetsOldVersionsButNoSharedPage() {
+  void removesOldVersionsButKeepsSharedPages() {
     FakeService service;
     RuleRegistry registry(service);
     for (int i = 0; i < 40; ++i) {
@@ -284,23 +288,23 @@
       readCurrent(service);
     }
     expectEqual<size_t>(VersionsKept, service.count(keys::History));
-    expectTrue(service.count(keys::Pages) < 200, "old pages are gone");
+    expectTrue(service.count(keys::Pages) < 200, "old pages are removed");
   }
 
-  void codesMembersAndInstances() {
+  void encodesAndDecodesMembersAndInstances() {
     MembersDocument document{.Version = MembersVersion{3},
                              .Members = {InstanceId{1}, InstanceId{2}},
                              .Previous = {InstanceId{2}}};
     expectTrue(decodeMembers(encodeMembers(document)).value() == document,
-               "an equal document");
+               "the decoded document is equal");
     InstanceInfo info{.Id = InstanceId{4},
                       .Zone = "hall-a",
                       .Packets = {.Ip = 1, .Port = 2},
                       .Peers = {.Ip = 1, .Port = 3},
                       .Admin = {.Ip = 1, .Port = 4}};
     expectTrue(decodeInstance(encodeInstance(info)).value() == info,
-               "an equal instance");
-    property("any bytes, without a crash", [] {
+               "the decoded instance is equal");
+    property("any bytes are decoded or refused without a crash", [] {
       auto bytes =
           QByteArray::fromStdString(*rc::gen::arbitrary<std::string>());
       (void)decodeMembers(bytes);
