--- a/bench/CoreBench.cpp
+++ b/bench/CoreBench.cpp
@@ -321,7 +321,7 @@
   report("decode_head_ns",
          nanoseconds(20'000,
                      [&](size_t) {
-                       if (!decodePacketHead(datagram))
+                       if (!decodePacketHeader(datagram))
                          std::abort();
                      }),
          "ns");
--- a/include/chicorybank/base/Findings.h
+++ b/include/chicorybank/base/Findings.h
@@ -19,7 +19,7 @@
 
 /// Where in an input something stands. Lines and columns count from one; zero
 /// means that the place is the whole input.
-struct Place {
+struct SourceLocation {
   std::string File;
   uint32_t Line = 0;
   uint32_t Column = 0;
@@ -27,7 +27,7 @@
 
 /// One fault and its place.
 struct Finding {
-  Place Where;
+  SourceLocation Where;
   std::string Message;
 
   /// "file:line:column: message".
@@ -38,7 +38,7 @@
 class Findings {
 public:
   /// Adds one fault.
-  void add(Place where, std::string message);
+  void add(SourceLocation where, std::string message);
   bool empty() const { return Items.empty(); }
   const std::vector<Finding> &items() const { return Items; }
   /// One line for each finding.
--- a/include/chicorybank/base/TomlReader.h
+++ b/include/chicorybank/base/TomlReader.h
@@ -23,14 +23,14 @@
 
 /// The bounds of a whole number.
 struct NumberBounds {
-  int64_t Least = 0;
-  int64_t Most = std::numeric_limits<int64_t>::max();
+  int64_t Min = 0;
+  int64_t Max = std::numeric_limits<int64_t>::max();
 };
 
 /// Reads one table and checks it.
 ///
 ///   TomlReader reader(table, "settings.toml", findings);
-///   int64_t port = reader.number("port", 0, {.Least = 1, .Most = 65535});
+///   int64_t port = reader.number("port", 0, {.Min = 1, .Max = 65535});
 ///   reader.finish();
 class TomlReader {
 public:
@@ -47,18 +47,19 @@
   /// "IP:port".
   Address address(std::string_view key, bool required);
   /// A length of time: a string with its unit, "250ms" or "3s".
-  Duration duration(std::string_view key, Duration fallback, Duration least,
-                    Duration most);
+  Duration duration(std::string_view key, Duration fallback, Duration min,
+                    Duration max);
   /// A list of strings, each with its place. One string counts as a list.
-  std::vector<std::pair<std::string, Place>> texts(std::string_view key);
+  std::vector<std::pair<std::string, SourceLocation>>
+  texts(std::string_view key);
   /// A table below this one, if it is there.
   const toml::table *table(std::string_view key);
   /// A list of tables below this one.
   std::vector<const toml::table *> tables(std::string_view key);
   /// Where a key stands; the table's own place if the key is absent.
-  Place placeOf(std::string_view key) const;
+  SourceLocation locationOf(std::string_view key) const;
   /// Adds a finding at a key.
-  void fault(std::string_view key, std::string message);
+  void addFinding(std::string_view key, std::string message);
   /// Reports every key that was not asked for.
   void finish();
 
@@ -76,7 +77,7 @@
 parseToml(std::string_view text, const std::string &file, Findings &findings);
 
 /// The place of a node in a file.
-Place placeOf(const toml::node &node, const std::string &file);
+SourceLocation locationOf(const toml::node &node, const std::string &file);
 
 } // namespace chicory
 
--- a/include/chicorybank/cbor/CborReader.h
+++ b/include/chicorybank/cbor/CborReader.h
@@ -32,8 +32,8 @@
 public:
   explicit CborReader(const QCborValue &value);
 
-  /// A whole number from zero to `most`.
-  qint64 number(qint64 most = INT64_MAX);
+  /// A whole number from zero to `max`.
+  qint64 number(qint64 max = INT64_MAX);
   /// A number that uses all 64 bits.
   uint64_t bits();
   std::string text();
--- a/include/chicorybank/packet/Packet.h
+++ b/include/chicorybank/packet/Packet.h
@@ -69,7 +69,7 @@
 };
 
 /// The part of a packet that the forwarding path needs.
-struct PacketHead {
+struct PacketHeader {
   PacketKind Kind = PacketKind::Data;
   bool ToCaller = false;
   FlowKey Flow;
@@ -89,7 +89,8 @@
 tl::expected<Packet, Reason> decodePacket(const QByteArray &datagram);
 
 /// Reads only the head, for packets that are passed on as they are.
-tl::expected<PacketHead, Reason> decodePacketHead(const QByteArray &datagram);
+tl::expected<PacketHeader, Reason>
+decodePacketHeader(const QByteArray &datagram);
 
 } // namespace chicory
 
--- a/lib/base/Findings.cpp
+++ b/lib/base/Findings.cpp
@@ -12,7 +12,7 @@
   return out + ": " + Message;
 }
 
-void Findings::add(Place where, std::string message) {
+void Findings::add(SourceLocation where, std::string message) {
   Items.push_back({.Where = std::move(where), .Message = std::move(message)});
 }
 
--- a/lib/base/TomlReader.cpp
+++ b/lib/base/TomlReader.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-Place placeOf(const toml::node &node, const std::string &file) {
+SourceLocation locationOf(const toml::node &node, const std::string &file) {
   const toml::source_position &begin = node.source().begin;
   return {.File = file, .Line = begin.line, .Column = begin.column};
 }
@@ -54,7 +54,7 @@
   explicit PlainTextCheck(std::string_view text) : Text(text) {}
 
   /// The place of the first such character, if there is one.
-  std::optional<Place> find(const std::string &file) {
+  std::optional<SourceLocation> find(const std::string &file) {
     while (At < Text.size()) {
       char it = Text[At];
       if (it == '#')
@@ -86,7 +86,7 @@
     }
     At = std::min(At + end.size(), Text.size());
   }
-  Place placeAt(const std::string &file) const {
+  SourceLocation placeAt(const std::string &file) const {
     std::string_view before = Text.substr(0, At);
     size_t lineBegin = before.rfind('\n') + 1; // Nothing found: zero.
     auto lines = std::count(before.begin(), before.end(), '\n');
@@ -128,13 +128,13 @@
   return Table.get(key);
 }
 
-Place TomlReader::placeOf(std::string_view key) const {
+SourceLocation TomlReader::locationOf(std::string_view key) const {
   const toml::node *node = Table.get(key);
-  return chicory::placeOf(node != nullptr ? *node : Table, File);
+  return chicory::locationOf(node != nullptr ? *node : Table, File);
 }
 
-void TomlReader::fault(std::string_view key, std::string message) {
-  Faults.add(placeOf(key), std::string(key) + ": " + std::move(message));
+void TomlReader::addFinding(std::string_view key, std::string message) {
+  Faults.add(locationOf(key), std::string(key) + ": " + std::move(message));
 }
 
 std::string TomlReader::text(std::string_view key, std::string fallback) {
@@ -143,18 +143,18 @@
     return fallback;
   if (auto value = node->value_exact<std::string>())
     return *value;
-  fault(key, "expected a string");
+  addFinding(key, "expected a string");
   return fallback;
 }
 
 std::string TomlReader::requiredText(std::string_view key) {
   if (find(key) == nullptr) {
-    fault(key, "is missing");
+    addFinding(key, "is missing");
     return {};
   }
   std::string value = text(key, {});
   if (value.empty() && find(key)->is_string())
-    fault(key, "must not be empty");
+    addFinding(key, "must not be empty");
   return value;
 }
 
@@ -165,13 +165,13 @@
     return fallback;
   auto value = node->value_exact<int64_t>();
   if (!value) {
-    fault(key, "expected a whole number");
+    addFinding(key, "expected a whole number");
     return fallback;
   }
-  if (*value < bounds.Least || *value > bounds.Most) {
-    fault(key, "is " + std::to_string(*value) + ", expected " +
-                   std::to_string(bounds.Least) + " to " +
-                   std::to_string(bounds.Most));
+  if (*value < bounds.Min || *value > bounds.Max) {
+    addFinding(key, "is " + std::to_string(*value) + ", expected " +
+                        std::to_string(bounds.Min) + " to " +
+                        std::to_string(bounds.Max));
     return fallback;
   }
   return *value;
@@ -183,7 +183,7 @@
     return fallback;
   if (auto value = node->value_exact<bool>())
     return *value;
-  fault(key, "expected true or false");
+  addFinding(key, "expected true or false");
   return fallback;
 }
 
@@ -195,48 +195,49 @@
     return {};
   std::optional<Address> parsed = parseAddress(value);
   if (!parsed) {
-    fault(key, "\"" + value + "\" is no IP:port");
+    addFinding(key, "\"" + value + "\" is no IP:port");
     return {};
   }
   return *parsed;
 }
 
 Duration TomlReader::duration(std::string_view key, Duration fallback,
-                              Duration least, Duration most) {
+                              Duration min, Duration max) {
   if (find(key) == nullptr)
     return fallback;
   std::string value = text(key, {});
   std::optional<Duration> parsed = parseDuration(value);
   if (!parsed) {
-    fault(key, "expected a time with its unit, such as \"250ms\" or \"3s\"");
+    addFinding(key,
+               "expected a time with its unit, such as \"250ms\" or \"3s\"");
     return fallback;
   }
-  if (*parsed < least || *parsed > most) {
-    fault(key, "is " + std::to_string(parsed->count()) + "us, expected " +
-                   std::to_string(least.count()) + "us to " +
-                   std::to_string(most.count()) + "us");
+  if (*parsed < min || *parsed > max) {
+    addFinding(key, "is " + std::to_string(parsed->count()) + "us, expected " +
+                        std::to_string(min.count()) + "us to " +
+                        std::to_string(max.count()) + "us");
     return fallback;
   }
   return *parsed;
 }
 
-std::vector<std::pair<std::string, Place>>
+std::vector<std::pair<std::string, SourceLocation>>
 TomlReader::texts(std::string_view key) {
-  std::vector<std::pair<std::string, Place>> out;
+  std::vector<std::pair<std::string, SourceLocation>> out;
   const toml::node *node = find(key);
   if (node == nullptr)
     return out;
   if (auto value = node->value_exact<std::string>()) {
-    out.emplace_back(*value, placeOf(key));
+    out.emplace_back(*value, locationOf(key));
     return out;
   }
   const toml::array *array = node->as_array();
   if (array == nullptr) {
-    fault(key, "expected a string or a list of strings");
+    addFinding(key, "expected a string or a list of strings");
     return out;
   }
   for (const toml::node &it : *array) {
-    Place place = chicory::placeOf(it, File);
+    SourceLocation place = chicory::locationOf(it, File);
     if (auto value = it.value_exact<std::string>())
       out.emplace_back(*value, place);
     else
@@ -250,7 +251,7 @@
   if (node == nullptr)
     return nullptr;
   if (!node->is_table())
-    fault(key, "expected a table");
+    addFinding(key, "expected a table");
   return node->as_table();
 }
 
@@ -261,14 +262,14 @@
     return out;
   const toml::array *array = node->as_array();
   if (array == nullptr) {
-    fault(key, "expected a list of tables");
+    addFinding(key, "expected a list of tables");
     return out;
   }
   for (const toml::node &it : *array) {
     if (const toml::table *item = it.as_table())
       out.push_back(item);
     else
-      Faults.add(chicory::placeOf(it, File),
+      Faults.add(chicory::locationOf(it, File),
                  std::string(key) + ": expected a table");
   }
   return out;
@@ -277,7 +278,7 @@
 void TomlReader::finish() {
   for (const auto &[key, node] : Table)
     if (!Known.contains(key.str()))
-      Faults.add(chicory::placeOf(node, File),
+      Faults.add(chicory::locationOf(node, File),
                  "unknown key \"" + std::string(key.str()) + "\"");
 }
 
--- a/lib/cbor/CborReader.cpp
+++ b/lib/cbor/CborReader.cpp
@@ -13,10 +13,10 @@
 CborReader::CborReader(const QCborValue &value)
     : Items(value.toArray()), Ok(value.isArray()) {}
 
-qint64 CborReader::number(qint64 most) {
+qint64 CborReader::number(qint64 max) {
   QCborValue value = next();
   qint64 out = value.toInteger(-1);
-  require(value.isInteger() && out >= 0 && out <= most);
+  require(value.isInteger() && out >= 0 && out <= max);
   return out;
 }
 
--- a/lib/daemon/PacketEdge.cpp
+++ b/lib/daemon/PacketEdge.cpp
@@ -21,7 +21,7 @@
 
 tl::expected<PacketInFlight, Reason> decodeInFlight(QByteArray datagram,
                                                     Address from) {
-  tl::expected<PacketHead, Reason> head = decodePacketHead(datagram);
+  tl::expected<PacketHeader, Reason> head = decodePacketHeader(datagram);
   if (!head)
     return tl::make_unexpected(head.error());
   PacketInFlight out;
--- a/lib/daemon/Settings.cpp
+++ b/lib/daemon/Settings.cpp
@@ -49,7 +49,7 @@
   const toml::table *table = root.table(name);
   if (table == nullptr) {
     if (required)
-      root.fault(name, "the table is missing");
+      root.addFinding(name, "the table is missing");
     return;
   }
   TomlReader reader(*table, File, Faults);
@@ -60,9 +60,9 @@
 InstanceInfo SettingsReader::readInfo(TomlReader &reader) {
   InstanceInfo out;
   out.Id.Value = static_cast<uint32_t>(
-      reader.number("id", 0, {.Least = 1, .Most = UINT32_MAX}));
+      reader.number("id", 0, {.Min = 1, .Max = UINT32_MAX}));
   if (out.Id == InstanceId{})
-    reader.fault("id", "a number above zero is needed");
+    reader.addFinding("id", "a number above zero is needed");
   out.Zone = reader.requiredText("zone");
   out.Packets = reader.address("packets", true);
   out.Peers = reader.address("peers", true);
@@ -89,7 +89,7 @@
       Faults.add(place, "servers: \"" + text + "\" is no IP:port");
   }
   if (Out.Platform.Servers.empty())
-    reader.fault("servers", "at least one IP:port is needed");
+    reader.addFinding("servers", "at least one IP:port is needed");
   Out.Platform.Timeout = reader.duration("timeout", Out.Platform.Timeout,
                                          milliseconds(50), seconds(60));
   Out.PlatformPoll =
@@ -99,8 +99,8 @@
 void SettingsReader::readPeers(TomlReader &reader) {
   Out.PeerSecret = QByteArray::fromStdString(reader.requiredText("key"));
   if (!Out.PeerSecret.isEmpty() && Out.PeerSecret.size() < LeastSecretBytes)
-    reader.fault("key", "is shorter than " + std::to_string(LeastSecretBytes) +
-                            " bytes");
+    reader.addFinding("key", "is shorter than " +
+                                 std::to_string(LeastSecretBytes) + " bytes");
   for (const toml::table *it : reader.tables("seeds")) {
     TomlReader seed(*it, File, Faults);
     Out.Seeds.push_back(readInfo(seed));
@@ -112,7 +112,7 @@
   auto count = [&](const char *key, size_t &value, int64_t least,
                    int64_t most) {
     value = static_cast<size_t>(reader.number(key, static_cast<int64_t>(value),
-                                              {.Least = least, .Most = most}));
+                                              {.Min = least, .Max = most}));
   };
   CoreOptions &core = Out.Core;
   count("max_flows", core.Flows.MaxFlows, 100, 20'000'000);
@@ -122,9 +122,8 @@
   count("max_cached_bytes", core.Requests.MaxCachedBytes, 0, 1 << 30);
   count("max_queue", core.Requests.MaxQueue, 1, 100'000);
   Out.ControlBytesPerSecond = static_cast<uint64_t>(reader.number(
-      "control_bytes_per_second", 4000, {.Least = 500, .Most = 100'000'000}));
-  int64_t percent =
-      reader.number("retry_percent", 10, {.Least = 0, .Most = 100});
+      "control_bytes_per_second", 4000, {.Min = 500, .Max = 100'000'000}));
+  int64_t percent = reader.number("retry_percent", 10, {.Min = 0, .Max = 100});
   core.Requests.RetryShare = static_cast<double>(percent) / 100;
 }
 
@@ -157,9 +156,9 @@
   const CoreOptions &core = Out.Core;
   // With fewer than two heartbeats in each span one lost packet is a fault.
   if (core.Membership.SuspectAfter < core.Membership.HeartbeatInterval * 2)
-    reader.fault("suspect_after", "must be at least twice heartbeat");
+    reader.addFinding("suspect_after", "must be at least twice heartbeat");
   if (core.Ownership.LeaseTime < core.Membership.HeartbeatInterval * 2)
-    reader.fault("lease", "must be at least twice heartbeat");
+    reader.addFinding("lease", "must be at least twice heartbeat");
 }
 
 Settings SettingsReader::read(const toml::table &root) {
@@ -175,7 +174,7 @@
     Out.LogLevel = it.text("level", Out.LogLevel);
     if (std::find(LogLevels.begin(), LogLevels.end(), Out.LogLevel) ==
         LogLevels.end())
-      it.fault("level", "expected debug, info, warning or error");
+      it.addFinding("level", "expected debug, info, warning or error");
   });
   reader.finish();
   Out.Platform.FromIp = Out.ListenPeers.Ip;
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -104,13 +104,13 @@
     if (auto parsed = parseIp(ip))
       out.Ip = *parsed;
     else if (!ip.empty())
-      instance->fault("ip", "\"" + ip + "\" is not an IP address");
+      instance->addFinding("ip", "\"" + ip + "\" is not an IP address");
 
     Section listen(top, "listen", file, findings);
     out.Packets = listen->address("packets", true);
     out.Ready = listen->address("ready", true);
     auto port = static_cast<uint16_t>(
-        listen->number("peer_port", 0, {.Least = 1, .Most = 65535}));
+        listen->number("peer_port", 0, {.Min = 1, .Max = 65535}));
     out.Peers = {.Ip = out.Ip, .Port = port};
 
     Section registry(top, "registry", file, findings);
--- a/lib/packet/Packet.cpp
+++ b/lib/packet/Packet.cpp
@@ -43,7 +43,7 @@
 }
 
 struct RawHead {
-  PacketHead Head;
+  PacketHeader Head;
   uint64_t Flags = 0;
 };
 
@@ -121,7 +121,8 @@
   return buf;
 }
 
-tl::expected<PacketHead, Reason> decodePacketHead(const QByteArray &datagram) {
+tl::expected<PacketHeader, Reason>
+decodePacketHeader(const QByteArray &datagram) {
   if (datagram.size() > MaxPacketBytes)
     return tl::make_unexpected(Reason::BadPacket);
   QCborStreamReader reader(datagram.constData(), datagram.size());
--- a/lib/rules/RuleFile.cpp
+++ b/lib/rules/RuleFile.cpp
@@ -69,9 +69,9 @@
   for (const toml::table *it : reader.tables("rules"))
     readRule(*it);
   if (Rules.Rules.empty())
-    reader.fault("rules", "at least one rule is needed");
+    reader.addFinding("rules", "at least one rule is needed");
   if (Rules.Rules.size() > MaxRules)
-    reader.fault("rules", "more than " + std::to_string(MaxRules));
+    reader.addFinding("rules", "more than " + std::to_string(MaxRules));
   reader.finish();
   return std::move(Rules);
 }
@@ -82,20 +82,20 @@
   service.Name = reader.requiredText("name");
   service.Id = serviceIdOf(service.Name);
   service.Slots = static_cast<uint16_t>(
-      reader.number("slots", service.Slots, {.Least = 1, .Most = 1000}));
+      reader.number("slots", service.Slots, {.Min = 1, .Max = 1000}));
   service.Connections = static_cast<uint32_t>(reader.number(
-      "connections", service.Connections, {.Least = 1, .Most = 1'000'000}));
+      "connections", service.Connections, {.Min = 1, .Max = 1'000'000}));
   if (Rules.findService(service.Name) != nullptr)
-    reader.fault("name", "\"" + service.Name + "\" stands twice");
+    reader.addFinding("name", "\"" + service.Name + "\" stands twice");
   else if (Rules.findService(service.Id) != nullptr)
-    reader.fault("name", "\"" + service.Name +
-                             "\" hashes like another service's name; "
-                             "choose another");
+    reader.addFinding("name", "\"" + service.Name +
+                                  "\" hashes like another service's name; "
+                                  "choose another");
   for (const toml::table *it : reader.tables("targets"))
     readTarget(*it, service);
   if (service.Targets.size() > MaxTargetsPerService)
-    reader.fault("targets",
-                 "more than " + std::to_string(MaxTargetsPerService));
+    reader.addFinding("targets",
+                      "more than " + std::to_string(MaxTargetsPerService));
   reader.finish();
   Rules.Services.push_back(std::move(service));
 }
@@ -104,15 +104,15 @@
   TomlReader reader(table, File, Faults);
   Target target{.Id = reader.address("address", true),
                 .Zone = reader.requiredText("zone"),
-                .Weight = static_cast<uint16_t>(reader.number(
-                    "weight", 1, {.Least = 1, .Most = MaxWeight})),
+                .Weight = static_cast<uint16_t>(
+                    reader.number("weight", 1, {.Min = 1, .Max = MaxWeight})),
                 .Drain = reader.flag("drain", false)};
   // A target of two services would let packets of one reach the other.
   auto [it, fresh] = TargetOwners.emplace(target.Id, service.Name);
   if (!fresh && target.Id)
-    reader.fault("address", formatAddress(target.Id) +
-                                " is already a target of \"" + it->second +
-                                "\"");
+    reader.addFinding("address", formatAddress(target.Id) +
+                                     " is already a target of \"" + it->second +
+                                     "\"");
   reader.finish();
   service.Targets.push_back(std::move(target));
 }
@@ -148,7 +148,7 @@
   else if (protocol == "udp")
     rule.Protocol = UdpProtocol;
   else if (protocol != "any")
-    reader.fault("protocol", "expected \"tcp\", \"udp\" or \"any\"");
+    reader.addFinding("protocol", "expected \"tcp\", \"udp\" or \"any\"");
   reader.finish();
 }
 
@@ -157,11 +157,11 @@
   std::string name = reader.text("service", {});
   bool refuse = reader.flag("refuse", false);
   if (name.empty() != refuse)
-    reader.fault("service", "give either a service or refuse = true");
+    reader.addFinding("service", "give either a service or refuse = true");
   if (!name.empty()) {
     rule.Service = serviceIdOf(name);
     if (Rules.findService(name) == nullptr)
-      reader.fault("service", "no service is named \"" + name + "\"");
+      reader.addFinding("service", "no service is named \"" + name + "\"");
   }
   reader.finish();
 }
@@ -175,7 +175,7 @@
   if (const toml::table *then = reader.table("then"))
     readThen(*then, rule);
   else
-    reader.fault("then", "is missing");
+    reader.addFinding("then", "is missing");
   reader.finish();
   Rules.Rules.push_back(std::move(rule));
 }
--- a/programs/chicoryctl/Commands.cpp
+++ b/programs/chicoryctl/Commands.cpp
@@ -25,7 +25,7 @@
       .object();
 }
 
-std::set<chicory::Address> adminAddresses(const Globals &globals) {
+std::set<chicory::Address> adminAddresses(const GlobalOptions &globals) {
   std::set<chicory::Address> out;
   for (const std::string &it : globals.Admin)
     if (auto at = chicory::parseAddress(it))
@@ -46,7 +46,8 @@
 
 } // namespace
 
-std::unique_ptr<chicory::KeyValueService> connect(const Globals &globals) {
+std::unique_ptr<chicory::KeyValueService>
+connect(const GlobalOptions &globals) {
   chicory::PlatformClientOptions options;
   for (const std::string &it : globals.Platform) {
     auto server = chicory::parseAddress(it);
@@ -64,7 +65,7 @@
   return chicory::makePlatformClient(options);
 }
 
-void print(const Globals &globals, const QJsonObject &object,
+void print(const GlobalOptions &globals, const QJsonObject &object,
            const std::string &text) {
   if (globals.Json)
     std::cout
@@ -74,14 +75,14 @@
     std::cout << text;
 }
 
-int platformFailed(chicory::PlatformError error) {
+int reportPlatformError(chicory::PlatformError error) {
   std::cerr << "platform: " << chicory::platformErrorName(error) << '\n';
-  return ExitNotReached;
+  return ExitUnreachable;
 }
 
-std::vector<AdminAnswer> askAll(const Globals &globals,
-                                const std::string &path) {
-  std::vector<AdminAnswer> out;
+std::vector<AdminResponse> queryInstances(const GlobalOptions &globals,
+                                          const std::string &path) {
+  std::vector<AdminResponse> out;
   std::set<chicory::Address> open = adminAddresses(globals);
   std::set<chicory::Address> asked;
   // The platform's list lags; instances name the peers that they hear.
@@ -106,7 +107,7 @@
   return out;
 }
 
-void addCommands(CLI::App &app, Globals &globals) {
+void addCommands(CLI::App &app, GlobalOptions &globals) {
   addRuleCommands(app, globals);
   addLiveCommands(app, globals);
 }
--- a/programs/chicoryctl/Commands.h
+++ b/programs/chicoryctl/Commands.h
@@ -19,8 +19,8 @@
 
 /// The exit codes; docs/OPERATIONS.md has the same list.
 enum ExitCode : int {
-  ExitDone = 0,
-  ExitNotReached = 1,
+  ExitSuccess = 0,
+  ExitUnreachable = 1,
   ExitFindings = 2,
   ExitConflict = 3,
   ExitOutcomeUnknown = 4,
@@ -28,7 +28,7 @@
 };
 
 /// Options that every command has.
-struct Globals {
+struct GlobalOptions {
   std::vector<std::string> Platform;
   std::vector<std::string> Admin;
   bool Json = false;
@@ -37,23 +37,23 @@
 };
 
 /// Adds all commands. The one that is parsed sets `globals.Run`.
-void addCommands(CLI::App &app, Globals &globals);
+void addCommands(CLI::App &app, GlobalOptions &globals);
 
-void addRuleCommands(CLI::App &app, Globals &globals);
-void addLiveCommands(CLI::App &app, Globals &globals);
+void addRuleCommands(CLI::App &app, GlobalOptions &globals);
+void addLiveCommands(CLI::App &app, GlobalOptions &globals);
 
 /// A client of the platform; null, with a message, where none was named.
-std::unique_ptr<chicory::KeyValueService> connect(const Globals &globals);
+std::unique_ptr<chicory::KeyValueService> connect(const GlobalOptions &globals);
 
 /// Prints an object with `--json`, else the text.
-void print(const Globals &globals, const QJsonObject &object,
+void print(const GlobalOptions &globals, const QJsonObject &object,
            const std::string &text);
 
 /// Prints a failed call of the platform and returns its exit code.
-int platformFailed(chicory::PlatformError error);
+int reportPlatformError(chicory::PlatformError error);
 
 /// One instance's answer over its admin side.
-struct AdminAnswer {
+struct AdminResponse {
   chicory::Address At;
   /// Nothing where it did not answer.
   std::optional<QJsonObject> Body;
@@ -61,8 +61,8 @@
 
 /// Asks every instance that `--admin`, the platform's list or another instance
 /// names.
-std::vector<AdminAnswer> askAll(const Globals &globals,
-                                const std::string &path);
+std::vector<AdminResponse> queryInstances(const GlobalOptions &globals,
+                                          const std::string &path);
 
 } // namespace chicoryctl
 
--- a/programs/chicoryctl/LiveCommands.cpp
+++ b/programs/chicoryctl/LiveCommands.cpp
@@ -43,17 +43,17 @@
 int noAnswer() {
   std::cerr << "no instance answered; name some with --admin IP:port or the "
                "platform with --platform IP:port\n";
-  return ExitNotReached;
+  return ExitUnreachable;
 }
 
-int wait(const Globals &globals, const LiveArguments &arguments) {
+int wait(const GlobalOptions &globals, const LiveArguments &arguments) {
   auto until = std::chrono::steady_clock::now() +
                std::chrono::seconds(arguments.TimeoutSeconds);
   for (;;) {
     QJsonArray confirmed;
     QJsonArray behind;
     QJsonArray unknown;
-    for (const AdminAnswer &it : askAll(globals, "/status")) {
+    for (const AdminResponse &it : queryInstances(globals, "/status")) {
       QString at = QString::fromStdString(formatAddress(it.At));
       if (!it.Body)
         unknown.append(at);
@@ -85,15 +85,15 @@
           "in_force=" + std::string(done ? "yes" : "no") +
               " confirmed=" + count(confirmed) + "\nbehind:" + names(behind) +
               "\nunknown:" + names(unknown) + "\n");
-    return done ? ExitDone : ExitNotInForce;
+    return done ? ExitSuccess : ExitNotInForce;
   }
 }
 
-int explain(const Globals &globals, const LiveArguments &arguments) {
+int explain(const GlobalOptions &globals, const LiveArguments &arguments) {
   QJsonArray answers;
   std::string text;
-  for (const AdminAnswer &it :
-       askAll(globals, "/explain?flow=" + arguments.Flow)) {
+  for (const AdminResponse &it :
+       queryInstances(globals, "/explain?flow=" + arguments.Flow)) {
     if (!it.Body)
       continue;
     answers.append(*it.Body);
@@ -102,16 +102,16 @@
   if (answers.isEmpty())
     return noAnswer();
   print(globals, {{"answers", answers}}, text);
-  return ExitDone;
+  return ExitSuccess;
 }
 
 /// Prints each instance's answer, or the items of one of its lists.
-int listAll(const Globals &globals, const std::string &path,
+int listAll(const GlobalOptions &globals, const std::string &path,
             const char *listName) {
   QJsonArray out;
   std::string text;
   bool answered = false;
-  for (const AdminAnswer &it : askAll(globals, path)) {
+  for (const AdminResponse &it : queryInstances(globals, path)) {
     std::string at = formatAddress(it.At);
     if (!it.Body) {
       text += "admin=" + at + " unreachable=yes\n";
@@ -132,14 +132,14 @@
   if (!answered)
     return noAnswer();
   print(globals, {{"instances", out}}, text);
-  return ExitDone;
+  return ExitSuccess;
 }
 
 } // namespace
 
-void addLiveCommands(CLI::App &app, Globals &globals) {
+void addLiveCommands(CLI::App &app, GlobalOptions &globals) {
   auto arguments = std::make_shared<LiveArguments>();
-  Globals *shared = &globals;
+  GlobalOptions *shared = &globals;
   auto command = [&app, shared](const char *name, const char *help, auto run) {
     CLI::App *out = app.add_subcommand(name, help);
     out->callback([shared, run] { shared->Run = run; });
--- a/programs/chicoryctl/Main.cpp
+++ b/programs/chicoryctl/Main.cpp
@@ -13,7 +13,7 @@
                "3 conflict, 4 outcome unknown, 5 not in force everywhere.");
   app.require_subcommand(1);
   app.fallthrough();
-  chicoryctl::Globals globals;
+  chicoryctl::GlobalOptions globals;
   app.add_option("--platform", globals.Platform,
                  "IP:port of the platform; may stand several times")
       ->envname("CHICORY_PLATFORM");
--- a/programs/chicoryctl/RuleCommands.cpp
+++ b/programs/chicoryctl/RuleCommands.cpp
@@ -35,7 +35,7 @@
   return QUuid::createUuid().toString(QUuid::WithoutBraces).toStdString();
 }
 
-std::optional<RuleSet> loadRules(const Globals &globals,
+std::optional<RuleSet> loadRules(const GlobalOptions &globals,
                                  const std::string &file) {
   std::ifstream in(file);
   std::ostringstream text;
@@ -61,7 +61,7 @@
   return std::nullopt;
 }
 
-int check(const Globals &globals, const RuleArguments &arguments) {
+int check(const GlobalOptions &globals, const RuleArguments &arguments) {
   auto rules = loadRules(globals, arguments.File);
   if (!rules)
     return ExitFindings;
@@ -69,10 +69,10 @@
         arguments.File + ": no findings, " +
             std::to_string(rules->Rules.size()) + " rules, " +
             std::to_string(rules->Services.size()) + " services\n");
-  return ExitDone;
+  return ExitSuccess;
 }
 
-int report(const Globals &globals, const SubmitOutcome &outcome,
+int report(const GlobalOptions &globals, const SubmitOutcome &outcome,
            const std::string &id) {
   QString qid = QString::fromStdString(id);
   if (const auto *it = std::get_if<Accepted>(&outcome)) {
@@ -81,7 +81,7 @@
            {"version", static_cast<qint64>(it->Version.Value)},
            {"id", qid}},
           "accepted version=" + std::to_string(it->Version.Value) + "\n");
-    return ExitDone;
+    return ExitSuccess;
   }
   if (const auto *it = std::get_if<Conflict>(&outcome)) {
     print(globals,
@@ -101,10 +101,10 @@
               ", which is safe\n");
     return ExitOutcomeUnknown;
   }
-  return platformFailed(std::get<NotSubmitted>(outcome).Why);
+  return reportPlatformError(std::get<NotSubmitted>(outcome).Why);
 }
 
-int submit(const Globals &globals, const RuleArguments &arguments) {
+int submit(const GlobalOptions &globals, const RuleArguments &arguments) {
   auto rules = loadRules(globals, arguments.File);
   if (!rules)
     return ExitFindings;
@@ -127,7 +127,7 @@
   auto manifest = version == 0 ? registry.currentManifest()
                                : registry.manifestOf(RuleVersion{version});
   if (!manifest) {
-    exitCode = platformFailed(manifest.error());
+    exitCode = reportPlatformError(manifest.error());
     return std::nullopt;
   }
   if (!*manifest) {
@@ -137,18 +137,18 @@
   }
   PageStore pages;
   if (auto fetched = registry.fetchPages(**manifest, pages); !fetched) {
-    exitCode = platformFailed(fetched.error());
+    exitCode = reportPlatformError(fetched.error());
     return std::nullopt;
   }
   auto rules = assemble(**manifest, pages);
   if (!rules) {
-    exitCode = platformFailed(PlatformError::BadAnswer);
+    exitCode = reportPlatformError(PlatformError::BadAnswer);
     return std::nullopt;
   }
   return *rules;
 }
 
-int show(const Globals &globals, const RuleArguments &arguments) {
+int show(const GlobalOptions &globals, const RuleArguments &arguments) {
   auto service = connect(globals);
   int exitCode = ExitFindings;
   if (service == nullptr)
@@ -161,16 +161,16 @@
         {{"version", static_cast<qint64>(rules->Version.Value)},
          {"toml", QString::fromStdString(text)}},
         "# version " + std::to_string(rules->Version.Value) + "\n" + text);
-  return ExitDone;
+  return ExitSuccess;
 }
 
-int history(const Globals &globals) {
+int history(const GlobalOptions &globals) {
   auto service = connect(globals);
   if (service == nullptr)
     return ExitFindings;
   auto manifests = RuleRegistry(*service).history();
   if (!manifests)
-    return platformFailed(manifests.error());
+    return reportPlatformError(manifests.error());
   QJsonArray list;
   std::string text;
   for (const RuleManifest &it : *manifests) {
@@ -183,7 +183,7 @@
             " pages=" + std::to_string(it.allPages().size()) + "\n";
   }
   print(globals, {{"versions", list}}, text);
-  return ExitDone;
+  return ExitSuccess;
 }
 
 /// The lines of a rule file, each block of a rule or service as one item.
@@ -202,7 +202,7 @@
   return out;
 }
 
-int diff(const Globals &globals, const RuleArguments &arguments) {
+int diff(const GlobalOptions &globals, const RuleArguments &arguments) {
   auto service = connect(globals);
   int exitCode = ExitFindings;
   if (service == nullptr)
@@ -233,11 +233,12 @@
     if (!oldSet.contains(it))
       note(it, '+', added);
   print(globals, {{"removed", removed}, {"added", added}}, text);
-  return ExitDone;
+  return ExitSuccess;
 }
 
 /// Sets a target's drain mark in the current rule set, against other writers.
-int setDrain(const Globals &globals, const std::string &text, bool drain) {
+int setDrain(const GlobalOptions &globals, const std::string &text,
+             bool drain) {
   auto id = parseAddress(text);
   if (!id) {
     std::cerr << "\"" << text << "\" is no IP:port\n";
@@ -276,7 +277,7 @@
 
 } // namespace
 
-void addRuleCommands(CLI::App &app, Globals &globals) {
+void addRuleCommands(CLI::App &app, GlobalOptions &globals) {
   auto arguments = std::make_shared<RuleArguments>();
   auto command = [&app, &globals](const char *name, const char *help,
                                   auto run) {
@@ -284,7 +285,7 @@
     out->callback([&globals, run] { globals.Run = run; });
     return out;
   };
-  Globals *shared = &globals;
+  GlobalOptions *shared = &globals;
   command("check",
           "Report every finding in a rule file\n"
           "Example: chicoryctl check rules.toml",
--- a/tests/PacketTest.cpp
+++ b/tests/PacketTest.cpp
@@ -45,7 +45,7 @@
                    read->RetryAfterMs == 250 && read->Draining &&
                    read->Payload == "payload",
                "every field is the same");
-    auto head = chicory::decodePacketHead(encodePacket(packet));
+    auto head = chicory::decodePacketHeader(encodePacket(packet));
     expectTrue(head && head->Flow == packet.Flow && head->ToCaller,
                "and so is the head");
   }
@@ -68,7 +68,7 @@
       Packet large = sample();
       large.Payload = QByteArray(2000, 'x');
       expectTrue(!chicory::decodePacket(encodePacket(large)), "refused");
-      expectTrue(!chicory::decodePacketHead(encodePacket(large)), "refused");
+      expectTrue(!chicory::decodePacketHeader(encodePacket(large)), "refused");
     });
     section("cut off anywhere", [&] {
       for (qsizetype n = 0; n < good.size(); ++n)
@@ -80,7 +80,7 @@
     property("any bytes are refused or read, without a crash", [] {
       auto bytes = *rc::gen::arbitrary<std::string>();
       (void)chicory::decodePacket(QByteArray::fromStdString(bytes));
-      (void)chicory::decodePacketHead(QByteArray::fromStdString(bytes));
+      (void)chicory::decodePacketHeader(QByteArray::fromStdString(bytes));
     });
     property("any damage is refused or read, without a crash", [] {
       QByteArray bytes = encodePacket(sample());
