--- a/include/chicorybank/base/Clock.h
+++ b/include/chicorybank/base/Clock.h
@@ -1,4 +1,4 @@
-// The clocks of a process.
+// Functions that read the system's clocks.
 
 #ifndef CHICORYBANK_BASE_CLOCK_H
 #define CHICORYBANK_BASE_CLOCK_H
@@ -9,7 +9,7 @@
 
 namespace chicory {
 
-/// Now on one of the system's clocks.
+/// Returns the current time of a system clock.
 inline Time clockNow(clockid_t clock) {
   timespec now{};
   ::clock_gettime(clock, &now);
@@ -17,22 +17,25 @@
               std::chrono::microseconds(now.tv_nsec / 1000));
 }
 
-/// Now on a clock that stands still while the machine is suspended, so that
-/// this time is not taken for silence of the others.
+/// Returns the time of a clock that stops while the machine is suspended, so
+/// that a suspension does not look like a period without messages from peers.
 inline Time steadyNow() { return clockNow(CLOCK_MONOTONIC); }
 
-/// Now on `CoreClock`: time since the machine's start, suspension included. A
-/// clock that stood still during a suspension would let a lease outlive it.
+/// Returns the current time of `CoreClock`: the time since the machine booted,
+/// suspensions included. With a clock that stops during a suspension, an
+/// expired lease would still count as valid afterwards.
 inline Time bootTimeNow() { return clockNow(CLOCK_BOOTTIME); }
 
-/// The time of day in milliseconds since the Unix epoch. It may jump.
+/// Returns the wall-clock time in milliseconds since the Unix epoch. It may
+/// jump forwards or backwards.
 inline int64_t unixMillisecondsNow() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
-/// Milliseconds since the Unix epoch at the origin of `bootTimeNow`.
+/// Returns the wall-clock time of the origin of `bootTimeNow`, in milliseconds
+/// since the Unix epoch.
 inline int64_t bootEpochMs() {
   auto boot = std::chrono::duration_cast<std::chrono::milliseconds>(
       bootTimeNow().time_since_epoch());
--- a/include/chicorybank/base/Findings.h
+++ b/include/chicorybank/base/Findings.h
@@ -1,7 +1,7 @@
-// Findings: what is wrong with an input, each with its place.
+// Findings: the errors in an input, each with its location.
 //
-// Checks don't stop at the first fault. They add to one `Findings` list, and
-// the caller reports all of it.
+// Checks don't stop at the first error. They add every error to one `Findings`
+// list, and the caller reports the whole list.
 //
 //   Findings findings;
 //   checkSettings(text, findings);
@@ -17,31 +17,31 @@
 
 namespace chicory {
 
-/// Where in an input something stands. Lines and columns count from one; zero
-/// means that the place is the whole input.
+/// A location in an input file. Lines and columns count from one; a line of
+/// zero means the whole input.
 struct SourceLocation {
   std::string File;
   uint32_t Line = 0;
   uint32_t Column = 0;
 };
 
-/// One fault and its place.
+/// One error and its location.
 struct Finding {
   SourceLocation Where;
   std::string Message;
 
-  /// "file:line:column: message".
+  /// Returns "file:line:column: message", or "file: message" for a finding
+  /// about the whole input.
   std::string text() const;
 };
 
-/// All faults of one input, in the order in which they were found.
+/// All errors of one input, in the order in which they were found.
 class Findings {
 public:
-  /// Adds one fault.
   void add(SourceLocation where, std::string message);
   bool empty() const { return Items.empty(); }
   const std::vector<Finding> &items() const { return Items; }
-  /// One line for each finding.
+  /// Returns all findings, one per line.
   std::string text() const;
 
 private:
--- a/include/chicorybank/base/Hash.h
+++ b/include/chicorybank/base/Hash.h
@@ -1,7 +1,8 @@
-// Hashing for placement. All of it is xxHash (XXH3, 64 bits).
+// Hash functions that decide the placement of flows, based on xxHash (XXH3,
+// 64 bits).
 //
-// Placement must be the same on every instance, so the inputs are copied into
-// a buffer with a fixed layout; nothing here depends on padding.
+// Every instance must compute the same placement. The inputs are therefore
+// copied into a buffer with a fixed layout, and no hash depends on padding.
 
 #ifndef CHICORYBANK_BASE_HASH_H
 #define CHICORYBANK_BASE_HASH_H
@@ -12,14 +13,14 @@
 
 namespace chicory {
 
-/// A hash of raw bytes.
+/// Returns the hash of raw bytes.
 uint64_t hashBytes(std::string_view bytes);
 
-/// A hash of a flow key; the input of every placement decision.
+/// Returns the hash of a flow key, the input of every placement decision.
 uint64_t hashFlow(const FlowKey &key);
 
-/// Mixes a flow's hash with a candidate's id. Cheap: it is called once for
-/// each candidate of a rendezvous choice.
+/// Returns the score of a candidate for a flow in rendezvous hashing. It is
+/// called once per candidate, so it must be cheap.
 ///
 ///   uint64_t score = mixHash(hashFlow(key), target.packed());
 inline uint64_t mixHash(uint64_t hash, uint64_t candidate) {
@@ -30,7 +31,7 @@
   return x ^ (x >> 31);
 }
 
-/// The id of a service with this name; never zero.
+/// Returns the id of the service with this name; never zero.
 ServiceId serviceIdOf(std::string_view name);
 
 } // namespace chicory
--- a/include/chicorybank/base/Reasons.h
+++ b/include/chicorybank/base/Reasons.h
@@ -1,7 +1,7 @@
-// The one list of reasons for which something is refused, retried or noted.
+// The list of all reasons for which something is refused, retried or logged.
 //
-// Metrics, logs, docs/REASONS.md and the packets to callers all draw on this
-// list; a test fails when one of them lacks a reason.
+// Metrics, logs, docs/REASONS.md and the packets to callers use this list. A
+// test fails if the metrics or docs/REASONS.md lack a reason.
 
 #ifndef CHICORYBANK_BASE_REASONS_H
 #define CHICORYBANK_BASE_REASONS_H
@@ -12,7 +12,8 @@
 
 namespace chicory {
 
-/// The first argument is the name in code, the second the name in metrics.
+/// Calls X with each reason's name in code and its name in metrics. Packets
+/// carry a reason as its position in this list.
 #define CHICORY_REASONS(X)                                                     \
   X(None, "none")                                                              \
   X(NoRules, "no_rules")                                                       \
@@ -63,21 +64,21 @@
   X(ZoneDrained, "zone_drained")                                               \
   X(WarmingUp, "warming_up")
 
-/// Why something was refused, retried or noted.
+/// Why something was refused, retried or logged.
 enum class Reason : uint8_t {
 #define CHICORY_REASON_ENUM(NAME, TEXT) NAME,
   CHICORY_REASONS(CHICORY_REASON_ENUM)
 #undef CHICORY_REASON_ENUM
 };
 
-/// How many reasons there are.
+/// The number of reasons.
 inline constexpr size_t ReasonCount = 0
 #define CHICORY_REASON_COUNT(NAME, TEXT) +1 // NOLINT: a summand.
     CHICORY_REASONS(CHICORY_REASON_COUNT)
 #undef CHICORY_REASON_COUNT
     ;
 
-/// The name of a reason in metrics and docs, such as "queue_full".
+/// Returns the name of a reason in metrics and docs, such as "queue_full".
 std::string_view reasonName(Reason reason);
 
 } // namespace chicory
--- a/include/chicorybank/base/Socket.h
+++ b/include/chicorybank/base/Socket.h
@@ -1,4 +1,4 @@
-// Small helpers around IPv4 sockets.
+// Functions that create IPv4 sockets.
 
 #ifndef CHICORYBANK_BASE_SOCKET_H
 #define CHICORYBANK_BASE_SOCKET_H
@@ -12,7 +12,7 @@
 
 namespace chicory {
 
-/// Owns a file descriptor and closes it.
+/// Owns a file descriptor and closes it on destruction.
 class FileDescriptor {
 public:
   FileDescriptor() = default;
@@ -33,14 +33,16 @@
 sockaddr_in toSockaddr(Address address);
 Address fromSockaddr(const sockaddr_in &address);
 
-/// A bound UDP socket, non-blocking. Port zero takes a free one.
+/// Returns a non-blocking UDP socket that is bound to an address. For port
+/// zero the system chooses a free port.
 tl::expected<FileDescriptor, std::string> bindUdp(Address address);
-/// A listening TCP socket, non-blocking.
+/// Returns a non-blocking TCP socket that listens on an address.
 tl::expected<FileDescriptor, std::string> listenTcp(Address address);
-/// A TCP socket that is connecting, from an address to another, non-blocking.
+/// Starts a TCP connection from a local IP address and returns its non-blocking
+/// socket, which may still be connecting.
 tl::expected<FileDescriptor, std::string> connectTcp(uint32_t fromIp,
                                                      Address to);
-/// The address that a socket is bound to.
+/// Returns the address that a socket is bound to.
 Address boundAddress(const FileDescriptor &socket);
 
 } // namespace chicory
--- a/include/chicorybank/base/Types.h
+++ b/include/chicorybank/base/Types.h
@@ -1,7 +1,7 @@
 // Strong types for ids, addresses and times.
 //
-// Every package uses these in place of bare integers, so that an instance id
-// can't be handed over where a request id is expected.
+// All packages use these instead of plain integers, so that an instance id
+// can't be passed where a request id is expected.
 
 #ifndef CHICORYBANK_BASE_TYPES_H
 #define CHICORYBANK_BASE_TYPES_H
@@ -16,11 +16,12 @@
 
 namespace chicory {
 
-/// The clock of `core`: microseconds since an origin that the caller chooses.
+/// The clock type of `core`: microseconds since an origin that the caller
+/// chooses.
 ///
-/// `core` never reads a clock. A shell maps its own onto this one; see
-/// `base/Clock.h`, which uses CLOCK_BOOTTIME because that one goes on
-/// counting while a machine is suspended, and leases depend on it.
+/// `core` never reads a clock; its caller passes the current time. The daemon
+/// uses CLOCK_BOOTTIME (see `base/Clock.h`), which continues to count while the
+/// machine is suspended. Leases depend on this.
 struct CoreClock {
   using rep = int64_t;
   using period = std::micro;
@@ -29,7 +30,7 @@
   static constexpr bool is_steady = true; // NOLINT: named by the standard.
 };
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 ///
 ///   Duration timeout = std::chrono::milliseconds(250);
 using Duration = CoreClock::duration;
@@ -37,7 +38,7 @@
 /// A point in time on `CoreClock`.
 using Time = CoreClock::time_point;
 
-/// An integer that belongs to one kind of thing.
+/// An integer with a type of its own for each kind of id.
 ///
 ///   InstanceId a{3};
 ///   uint32_t raw = a.Value;
@@ -46,15 +47,15 @@
   auto operator<=>(const StrongId &) const = default;
 };
 
-/// One entry instance. Zero means "none".
+/// The id of an instance. Zero means "none".
 using InstanceId = StrongId<struct InstanceTag, uint32_t>;
-/// One service: a 32-bit hash of its name. Zero means "none".
+/// The id of a service: a 32-bit hash of its name. Zero means "none".
 using ServiceId = StrongId<struct ServiceTag, uint32_t>;
-/// One request on a flow; chosen by the caller.
+/// The id of a request on a flow, chosen by the caller.
 using RequestId = StrongId<struct RequestTag, uint64_t>;
-/// A version of the operators' rule set. Zero means that none is known.
+/// The version of the operators' rule set. Zero means that none is known.
 using RuleVersion = StrongId<struct RuleVersionTag, uint64_t>;
-/// A version of the members document (see `core/OwnershipTracker.h`).
+/// The version of the members document (see `core/OwnershipTracker.h`).
 using MembersVersion = StrongId<struct MembersVersionTag, uint64_t>;
 
 /// An IPv4 address and a port, both in host byte order.
@@ -63,9 +64,9 @@
   uint16_t Port = 0;
 
   auto operator<=>(const Address &) const = default;
-  /// True for every address but the default one.
+  /// Returns true for every address except 0.0.0.0:0.
   explicit operator bool() const { return Ip != 0 || Port != 0; }
-  /// Both parts in one integer, for hashing and for compact tables.
+  /// Returns both parts in one integer, for hashing and for compact tables.
   uint64_t packed() const { return (uint64_t{Ip} << 16) | Port; }
   /// The inverse of `packed`.
   static Address unpack(uint64_t bits) {
@@ -74,10 +75,10 @@
   }
 };
 
-/// One target is known by its address: it keeps its identity across rule sets.
+/// The id of a target is its address, so it stays the same across rule sets.
 using TargetId = Address;
 
-/// The five fields that name a flow, as the caller sees them.
+/// The five fields that identify a flow, as the caller sees them.
 struct FlowKey {
   Address Source;
   Address Destination;
@@ -91,19 +92,20 @@
 ///   std::optional<Address> a = parseAddress("127.0.0.1:9000");
 std::optional<Address> parseAddress(std::string_view text);
 
-/// Parses "10.0.0.1" to host byte order.
+/// Parses "10.0.0.1" and returns it in host byte order.
 std::optional<uint32_t> parseIp(std::string_view text);
 
-/// Parses a whole decimal number, with nothing before or after it.
+/// Parses an unsigned decimal integer. Returns nothing if the text has any
+/// other character.
 std::optional<uint64_t> parseNumber(std::string_view text);
 
-/// The text that `parseIp` reads.
+/// Formats an IPv4 address as "10.0.0.1".
 std::string formatIp(uint32_t ip);
 
-/// The text that `parseAddress` reads.
+/// Formats an address as "10.0.0.1:80".
 std::string formatAddress(Address address);
 
-/// "src>dst/proto", for logs and for operators.
+/// Formats a flow key as "source>destination/protocol", for logs and operators.
 std::string formatFlow(const FlowKey &key);
 
 } // namespace chicory
--- a/include/chicorybank/cbor/CborReader.h
+++ b/include/chicorybank/cbor/CborReader.h
@@ -1,8 +1,8 @@
-// Strict reading of CBOR arrays (RFC 8949, by Qt).
+// Strict decoding of CBOR arrays (RFC 8949), based on Qt.
 //
-// Qt's own decoder returns what it has read when the bytes end early; taken
-// for the whole, half a rule set would come into force. `decodeCbor` refuses
-// that.
+// Qt's decoder returns the items that it has read when the input is truncated.
+// Without a check, half a rule set would come into force. `decodeCbor` rejects
+// such input.
 
 #ifndef CHICORYBANK_CBOR_CBORREADER_H
 #define CHICORYBANK_CBOR_CBORREADER_H
@@ -16,12 +16,12 @@
 
 namespace chicory {
 
-/// The one value that the bytes hold; an invalid value (see
-/// QCborValue::isInvalid) for bytes that are cut off, damaged or too many.
+/// Decodes a single value. Returns an invalid value (see QCborValue::isInvalid)
+/// if the bytes are truncated or malformed, or if more bytes follow the value.
 QCborValue decodeCbor(const QByteArray &bytes);
 
-/// Reads the items of an array one after another, and remembers whether each
-/// was there and had its kind.
+/// Reads the items of an array in order. `done` returns false if an item was
+/// missing, had the wrong type or was out of range.
 ///
 ///   CborReader reader(decodeCbor(bytes));
 ///   qint64 count = reader.number(100);
@@ -32,21 +32,21 @@
 public:
   explicit CborReader(const QCborValue &value);
 
-  /// A whole number from zero to `max`.
+  /// Reads an integer from zero to `max`.
   qint64 number(qint64 max = INT64_MAX);
-  /// A number that uses all 64 bits.
+  /// Reads an integer that may use all 64 bits.
   uint64_t bits();
   std::string text();
   bool flag();
   QByteArray bytes();
   QCborArray list();
-  /// A list of instance ids.
+  /// Reads a list of instance ids.
   std::vector<InstanceId> instances();
-  /// An address in its packed form.
+  /// Reads an address in its packed form.
   Address address();
-  /// Adds a condition of the caller's.
+  /// Makes `done` return false if the caller's own check fails.
   void require(bool condition) { Ok = Ok && condition; }
-  /// True where every item was read and all was well.
+  /// Returns true if every item of the array was read without an error.
   bool done() const { return Ok && Position == Items.size(); }
 
 private:
--- a/include/chicorybank/packet/Packet.h
+++ b/include/chicorybank/packet/Packet.h
@@ -1,8 +1,9 @@
-// The packet: one UDP datagram of a caller, a backend server or an instance.
+// The format of packets: UDP datagrams between callers, instances and backend
+// servers.
 //
-// docs/PACKETS.md maps each kind to its counterpart in TCP/IP. The codec is
-// Qt's CBOR (RFC 8949); a packet is one CBOR array. Callers and backend servers
-// need to know this format and nothing else of chicorybank.
+// A packet is one CBOR array (RFC 8949), encoded by Qt. docs/PACKETS.md maps
+// each kind to its counterpart in TCP/IP. This format is all that callers and
+// backend servers need to know of chicorybank.
 
 #ifndef CHICORYBANK_PACKET_PACKET_H
 #define CHICORYBANK_PACKET_PACKET_H
@@ -15,21 +16,21 @@
 
 namespace chicory {
 
-/// What a packet does. The numbers are on the wire and never change.
+/// The kind of a packet. The numbers are sent on the wire and never change.
 enum class PacketKind : uint8_t {
   Open = 1,    ///< A caller opens a flow.
   Data = 2,    ///< Bytes of an established flow, in either direction.
-  Close = 3,   ///< An orderly end, by either side.
-  Reset = 4,   ///< The flow does not exist, or no longer.
-  Request = 5, ///< A whole request of a caller.
+  Close = 3,   ///< Either side closes the flow in an orderly way.
+  Reset = 4,   ///< The flow does not exist, or no longer exists.
+  Request = 5, ///< A caller sends a whole request.
   Answer = 6,  ///< One part of an answer.
   Refused = 7, ///< The request has no answer: see `Packet::Outcome`.
   Cancel = 8,  ///< The caller no longer waits for a request.
   Probe = 9,   ///< An instance asks a backend server for a report.
-  Report = 10, ///< Health and load of a backend server.
+  Report = 10, ///< A backend server reports its health and load.
 };
 
-/// What is known of a request that gets no answer.
+/// Whether a refused request may have run.
 enum class RefusedOutcome : uint8_t {
   NotRun,  ///< It was not run and never will be.
   Unknown, ///< It may have run.
@@ -41,34 +42,36 @@
 ///   QByteArray datagram = encodePacket(packet);
 struct Packet {
   PacketKind Kind = PacketKind::Data;
-  /// True on the way from a backend server to the caller. `Flow` names the
-  /// caller as its source in both directions.
+  /// True for packets from a backend server to the caller. In both directions
+  /// the source of `Flow` is the caller.
   bool ToCaller = false;
   FlowKey Flow;
-  /// On the way to the caller: the backend server that sent it. The fabric
-  /// hands packets on from addresses of its own, so the datagram can't tell.
+  /// In packets to the caller: the backend server that sent it. The fabric
+  /// forwards packets from its own addresses, so the source address of the
+  /// datagram does not identify the server.
   Address Origin;
   RequestId Request;
   /// The request may run more than once without harm.
   bool Idempotent = false;
   /// This is the last part of an answer.
   bool Last = false;
-  /// The number of an answer's part, from zero. In a Report: how many
-  /// requests run at the backend server now.
+  /// The index of this part of an answer, from zero. In a Report: the number of
+  /// requests that the backend server is running.
   uint32_t Part = 0;
-  /// Milliseconds since the Unix epoch; a backend server starts nothing after.
+  /// Milliseconds since the Unix epoch. A backend server does not start the
+  /// request after this time.
   int64_t DeadlineMs = 0;
   RefusedOutcome Outcome = RefusedOutcome::NotRun;
   /// Why a request was refused.
   Reason Why = Reason::None;
-  /// When the caller may try again, in milliseconds from now.
+  /// The delay after which the caller may retry, in milliseconds.
   uint32_t RetryAfterMs = 0;
-  /// In a Report: the backend server is leaving.
+  /// In a Report: the backend server is draining.
   bool Draining = false;
   QByteArray Payload;
 };
 
-/// The part of a packet that the forwarding path needs.
+/// The fields of a packet that forwarding needs.
 struct PacketHeader {
   PacketKind Kind = PacketKind::Data;
   bool ToCaller = false;
@@ -76,19 +79,21 @@
   Address Origin;
 };
 
-/// No packet is larger, so that it fits the Ethernet MTU with its headers.
+/// The maximum size of a packet. With its headers it fits the Ethernet MTU.
 inline constexpr qsizetype MaxPacketBytes = 1400;
 
-/// The version of this format; others are refused with Reason::BadVersion.
+/// The version of this format. Packets of any other version are refused with
+/// Reason::BadVersion.
 inline constexpr uint64_t PacketFormatVersion = 1;
 
-/// The datagram for a packet.
+/// Encodes a packet as a datagram.
 QByteArray encodePacket(const Packet &packet);
 
-/// Reads a whole packet. Fails with BadPacket or BadVersion.
+/// Decodes a whole packet. Fails with BadPacket or BadVersion.
 tl::expected<Packet, Reason> decodePacket(const QByteArray &datagram);
 
-/// Reads only the head, for packets that are passed on as they are.
+/// Decodes only the header, for packets that are forwarded unchanged. Fails
+/// with BadPacket or BadVersion.
 tl::expected<PacketHeader, Reason>
 decodePacketHeader(const QByteArray &datagram);
 
