--- a/lib/base/Socket.cpp
+++ b/lib/base/Socket.cpp
@@ -11,16 +11,18 @@
 
 namespace {
 
-// Room for a burst that arrives while the reader is not scheduled.
+// Holds a burst of packets that arrives while the reading thread is not
+// scheduled.
 constexpr int SocketBufferBytes = 4 << 20;
-constexpr int Backlog = 128;
+constexpr int ListenBacklog = 128;
 
 std::string errorText(const char *what, Address address) {
   return std::string(what) + ' ' + formatAddress(address) + ": " +
          std::strerror(errno);
 }
 
-tl::expected<FileDescriptor, std::string> bound(int type, Address address) {
+tl::expected<FileDescriptor, std::string> bindSocket(int type,
+                                                     Address address) {
   FileDescriptor out(::socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   int on = 1;
   if (type == SOCK_STREAM)
@@ -64,7 +66,7 @@
 }
 
 tl::expected<FileDescriptor, std::string> bindUdp(Address address) {
-  auto out = bound(SOCK_DGRAM, address);
+  auto out = bindSocket(SOCK_DGRAM, address);
   if (out) {
     int bytes = SocketBufferBytes;
     ::setsockopt(out->get(), SOL_SOCKET, SO_RCVBUF, &bytes, sizeof(bytes));
@@ -74,15 +76,15 @@
 }
 
 tl::expected<FileDescriptor, std::string> listenTcp(Address address) {
-  auto out = bound(SOCK_STREAM, address);
-  if (out && ::listen(out->get(), Backlog) != 0)
+  auto out = bindSocket(SOCK_STREAM, address);
+  if (out && ::listen(out->get(), ListenBacklog) != 0)
     return tl::make_unexpected(errorText("listen", address));
   return out;
 }
 
 tl::expected<FileDescriptor, std::string> connectTcp(uint32_t fromIp,
                                                      Address to) {
-  auto out = bound(SOCK_STREAM, {.Ip = fromIp, .Port = 0});
+  auto out = bindSocket(SOCK_STREAM, {.Ip = fromIp, .Port = 0});
   if (!out)
     return out;
   int on = 1;
--- a/lib/base/TomlReader.cpp
+++ b/lib/base/TomlReader.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-template <typename Unit> Duration lengthOf(double count) {
+template <typename Unit> Duration toDuration(double count) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, typename Unit::period>(count));
 }
 
 std::optional<Duration> parseDuration(std::string_view text) {
-  // Enough for a year in milliseconds, and far from any overflow.
-  constexpr size_t MostDigits = 12;
+  // Allows a year in milliseconds and prevents overflow.
+  constexpr size_t MaxDigits = 12;
   size_t digits = text.find_first_not_of("0123456789.");
-  if (digits == 0 || digits == std::string_view::npos || digits > MostDigits)
+  if (digits == 0 || digits == std::string_view::npos || digits > MaxDigits)
     return std::nullopt;
   double count = 0;
   auto [end, ec] = std::from_chars(text.data(), text.data() + digits, count);
@@ -25,13 +25,13 @@
     return std::nullopt;
   std::string_view unit = text.substr(digits);
   if (unit == "us")
-    return lengthOf<std::chrono::microseconds>(count);
+    return toDuration<std::chrono::microseconds>(count);
   if (unit == "ms")
-    return lengthOf<std::chrono::milliseconds>(count);
+    return toDuration<std::chrono::milliseconds>(count);
   if (unit == "s")
-    return lengthOf<std::chrono::seconds>(count);
+    return toDuration<std::chrono::seconds>(count);
   if (unit == "min")
-    return lengthOf<std::chrono::minutes>(count);
+    return toDuration<std::chrono::minutes>(count);
   return std::nullopt;
 }
 
@@ -44,25 +44,26 @@
 
 namespace {
 
-/// Looks for characters that TOML has in strings and comments alone.
+/// Finds characters beyond ASCII outside of strings and comments, where TOML
+/// does not allow them.
 ///
-/// What goes wrong without: the library is undefined for some of them between
-/// values, where an operator may well have pasted one; one sees a program that
-/// ends while it reads a file.
-class PlainTextCheck {
+/// Without this check, the TOML library has undefined behaviour for some of
+/// these characters between values, where an operator may have pasted one. The
+/// program then ends while it reads the file.
+class NonAsciiFinder {
 public:
-  explicit PlainTextCheck(std::string_view text) : Text(text) {}
+  explicit NonAsciiFinder(std::string_view text) : Text(text) {}
 
-  /// The place of the first such character, if there is one.
+  /// Returns the location of the first such character, if there is one.
   std::optional<SourceLocation> find(const std::string &file) {
     while (At < Text.size()) {
       char it = Text[At];
       if (it == '#')
-        passUntil("\n");
+        skipTo("\n");
       else if (it == '"' || it == '\'')
-        passString(it);
+        skipString(it);
       else if (static_cast<unsigned char>(it) > 0x7f)
-        return placeAt(file);
+        return locationAt(file);
       else
         ++At;
     }
@@ -70,10 +71,10 @@
   }
 
 private:
-  void passUntil(std::string_view end) {
+  void skipTo(std::string_view end) {
     At = std::min(Text.find(end, At), Text.size());
   }
-  void passString(char quote) {
+  void skipString(char quote) {
     std::string end(3, quote);
     bool multiline = Text.substr(At).starts_with(end);
     if (!multiline)
@@ -86,9 +87,9 @@
     }
     At = std::min(At + end.size(), Text.size());
   }
-  SourceLocation placeAt(const std::string &file) const {
+  SourceLocation locationAt(const std::string &file) const {
     std::string_view before = Text.substr(0, At);
-    size_t lineBegin = before.rfind('\n') + 1; // Nothing found: zero.
+    size_t lineBegin = before.rfind('\n') + 1; // npos + 1 is zero.
     auto lines = std::count(before.begin(), before.end(), '\n');
     return {.File = file,
             .Line = static_cast<uint32_t>(lines) + 1,
@@ -103,7 +104,7 @@
 
 std::optional<toml::table>
 parseToml(std::string_view text, const std::string &file, Findings &findings) {
-  if (auto place = PlainTextCheck(text).find(file)) {
+  if (auto place = NonAsciiFinder(text).find(file)) {
     findings.add(*place, "only strings and comments may have characters "
                          "beyond ASCII");
     return std::nullopt;
@@ -149,7 +150,7 @@
 
 std::string TomlReader::requiredText(std::string_view key) {
   if (find(key) == nullptr) {
-    addFinding(key, "is missing");
+    addFinding(key, "required key is missing");
     return {};
   }
   std::string value = text(key, {});
@@ -195,7 +196,8 @@
     return {};
   std::optional<Address> parsed = parseAddress(value);
   if (!parsed) {
-    addFinding(key, "\"" + value + "\" is no IP:port");
+    addFinding(key,
+               "\"" + value + "\" is not an IP:port, such as \"10.0.0.1:443\"");
     return {};
   }
   return *parsed;
--- a/lib/cbor/CborReader.cpp
+++ b/lib/cbor/CborReader.cpp
@@ -5,9 +5,9 @@
 QCborValue decodeCbor(const QByteArray &bytes) {
   QCborParserError error;
   QCborValue value = QCborValue::fromCbor(bytes, &error);
-  bool whole = error.error == QCborError{QCborError::NoError} &&
-               error.offset == bytes.size();
-  return whole ? value : QCborValue(QCborValue::Invalid);
+  bool complete = error.error == QCborError{QCborError::NoError} &&
+                  error.offset == bytes.size();
+  return complete ? value : QCborValue(QCborValue::Invalid);
 }
 
 CborReader::CborReader(const QCborValue &value)
--- a/lib/packet/Packet.cpp
+++ b/lib/packet/Packet.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// The fields of the CBOR array, in their order: version, kind, flags, source,
-// destination, protocol, origin, request, deadline, part, reason, retry-after,
-// payload.
+// The number of fields in the CBOR array. In order: version, kind, flags,
+// source, destination, protocol, origin, request, deadline, part, reason,
+// retry-after, payload.
 constexpr uint64_t FieldCount = 13;
 
 enum PacketFlag : uint64_t {
@@ -23,7 +23,7 @@
 
 constexpr uint64_t MaxPackedAddress = (uint64_t{1} << 48) - 1;
 
-/// Reads the next item as an unsigned number of at most `limit`.
+/// Reads the next item as an unsigned integer of at most `limit`.
 bool readNumber(QCborStreamReader &reader, uint64_t limit, uint64_t &value) {
   if (!reader.isUnsignedInteger())
     return false;
@@ -38,16 +38,16 @@
   if (chunk.status != QCborStreamReader::Ok)
     return false;
   payload = chunk.data;
-  // The second call reports the end of the string and moves on.
+  // Reading the end of the string moves the reader to the next item.
   return reader.readByteArray().status == QCborStreamReader::EndOfString;
 }
 
-struct RawHead {
-  PacketHeader Head;
+struct RawHeader {
+  PacketHeader Header;
   uint64_t Flags = 0;
 };
 
-tl::expected<RawHead, Reason> readHead(QCborStreamReader &reader) {
+tl::expected<RawHeader, Reason> readHeader(QCborStreamReader &reader) {
   auto bad = tl::make_unexpected(Reason::BadPacket);
   if (!reader.isArray() || !reader.isLengthKnown() || reader.length() == 0)
     return bad;
@@ -62,7 +62,7 @@
   uint64_t destination = 0;
   uint64_t protocol = 0;
   uint64_t origin = 0;
-  RawHead out;
+  RawHeader out;
   bool ok =
       count == FieldCount &&
       readNumber(reader, static_cast<uint64_t>(PacketKind::Report), kind) &&
@@ -73,16 +73,16 @@
       readNumber(reader, MaxPackedAddress, origin);
   if (!ok)
     return bad;
-  out.Head.Kind = static_cast<PacketKind>(kind);
-  out.Head.ToCaller = (out.Flags & FlagToCaller) != 0;
-  out.Head.Flow = {.Source = Address::unpack(source),
-                   .Destination = Address::unpack(destination),
-                   .Protocol = static_cast<uint8_t>(protocol)};
-  out.Head.Origin = Address::unpack(origin);
+  out.Header.Kind = static_cast<PacketKind>(kind);
+  out.Header.ToCaller = (out.Flags & FlagToCaller) != 0;
+  out.Header.Flow = {.Source = Address::unpack(source),
+                     .Destination = Address::unpack(destination),
+                     .Protocol = static_cast<uint8_t>(protocol)};
+  out.Header.Origin = Address::unpack(origin);
   return out;
 }
 
-uint64_t flagsOf(const Packet &packet) {
+uint64_t encodeFlags(const Packet &packet) {
   uint64_t flags = 0;
   if (packet.ToCaller)
     flags |= FlagToCaller;
@@ -106,7 +106,7 @@
   writer.startArray(FieldCount);
   writer.append(quint64{PacketFormatVersion});
   writer.append(static_cast<quint64>(packet.Kind));
-  writer.append(quint64{flagsOf(packet)});
+  writer.append(quint64{encodeFlags(packet)});
   writer.append(quint64{packet.Flow.Source.packed()});
   writer.append(quint64{packet.Flow.Destination.packed()});
   writer.append(quint64{packet.Flow.Protocol});
@@ -126,14 +126,15 @@
   if (datagram.size() > MaxPacketBytes)
     return tl::make_unexpected(Reason::BadPacket);
   QCborStreamReader reader(datagram.constData(), datagram.size());
-  return readHead(reader).map([](const RawHead &raw) { return raw.Head; });
+  return readHeader(reader).map(
+      [](const RawHeader &raw) { return raw.Header; });
 }
 
 tl::expected<Packet, Reason> decodePacket(const QByteArray &datagram) {
   if (datagram.size() > MaxPacketBytes)
     return tl::make_unexpected(Reason::BadPacket);
   QCborStreamReader reader(datagram.constData(), datagram.size());
-  tl::expected<RawHead, Reason> raw = readHead(reader);
+  tl::expected<RawHeader, Reason> raw = readHeader(reader);
   if (!raw)
     return tl::make_unexpected(raw.error());
   uint64_t request = 0;
@@ -141,10 +142,10 @@
   uint64_t part = 0;
   uint64_t why = 0;
   uint64_t retryAfter = 0;
-  Packet out{.Kind = raw->Head.Kind,
-             .ToCaller = raw->Head.ToCaller,
-             .Flow = raw->Head.Flow,
-             .Origin = raw->Head.Origin,
+  Packet out{.Kind = raw->Header.Kind,
+             .ToCaller = raw->Header.ToCaller,
+             .Flow = raw->Header.Flow,
+             .Origin = raw->Header.Origin,
              .Idempotent = (raw->Flags & FlagIdempotent) != 0,
              .Last = (raw->Flags & FlagLast) != 0,
              .Draining = (raw->Flags & FlagDraining) != 0};
--- a/programs/chicoryctl/Commands.cpp
+++ b/programs/chicoryctl/Commands.cpp
@@ -52,13 +52,14 @@
   for (const std::string &it : globals.Platform) {
     auto server = chicory::parseAddress(it);
     if (!server) {
-      std::cerr << "--platform: \"" << it << "\" is no IP:port\n";
+      std::cerr << "--platform: \"" << it
+                << "\" is not an IP:port, such as \"10.0.0.1:2379\"\n";
       return nullptr;
     }
     options.Servers.push_back(*server);
   }
   if (options.Servers.empty()) {
-    std::cerr << "name the platform with --platform IP:port or "
+    std::cerr << "no platform address given; set --platform IP:port or "
                  "CHICORY_PLATFORM\n";
     return nullptr;
   }
@@ -76,20 +77,22 @@
 }
 
 int reportPlatformError(chicory::PlatformError error) {
-  std::cerr << "platform: " << chicory::platformErrorName(error) << '\n';
+  std::cerr << "request to the platform failed: "
+            << chicory::platformErrorName(error) << '\n';
   return ExitUnreachable;
 }
 
 std::vector<AdminResponse> queryInstances(const GlobalOptions &globals,
                                           const std::string &path) {
   std::vector<AdminResponse> out;
-  std::set<chicory::Address> open = adminAddresses(globals);
-  std::set<chicory::Address> asked;
-  // The platform's list lags; instances name the peers that they hear.
-  while (!open.empty()) {
-    chicory::Address at = *open.begin();
-    open.erase(open.begin());
-    if (!asked.insert(at).second)
+  std::set<chicory::Address> pending = adminAddresses(globals);
+  std::set<chicory::Address> queried;
+  // The platform's list may be out of date, so the peers from which the
+  // instances receive heartbeats are queried too.
+  while (!pending.empty()) {
+    chicory::Address at = *pending.begin();
+    pending.erase(pending.begin());
+    if (!queried.insert(at).second)
       continue;
     out.push_back({.At = at, .Body = fetch(at, path)});
     auto status = fetch(at, "/status");
@@ -101,7 +104,7 @@
       auto admin =
           chicory::parseAddress(peer["admin"].toString().toStdString());
       if (admin && peer["heard"].toBool())
-        open.insert(*admin);
+        pending.insert(*admin);
     }
   }
   return out;
--- a/programs/chicoryctl/Commands.h
+++ b/programs/chicoryctl/Commands.h
@@ -1,4 +1,4 @@
-// The commands of `chicoryctl` and what they share.
+// The commands of `chicoryctl` and the functions that they share.
 
 #ifndef CHICORYBANK_PROGRAMS_CHICORYCTL_COMMANDS_H
 #define CHICORYBANK_PROGRAMS_CHICORYCTL_COMMANDS_H
@@ -27,40 +27,41 @@
   ExitNotInForce = 5,
 };
 
-/// Options that every command has.
+/// The options that all commands have in common.
 struct GlobalOptions {
   std::vector<std::string> Platform;
   std::vector<std::string> Admin;
   bool Json = false;
-  /// The command that the line asks for.
+  /// Runs the command of the command line and returns its exit code.
   std::function<int()> Run;
 };
 
-/// Adds all commands. The one that is parsed sets `globals.Run`.
+/// Adds all commands. Parsing a command sets `globals.Run`.
 void addCommands(CLI::App &app, GlobalOptions &globals);
 
 void addRuleCommands(CLI::App &app, GlobalOptions &globals);
 void addLiveCommands(CLI::App &app, GlobalOptions &globals);
 
-/// A client of the platform; null, with a message, where none was named.
+/// Returns a client of the platform. If `--platform` is absent or not IP:port,
+/// prints an error and returns null.
 std::unique_ptr<chicory::KeyValueService> connect(const GlobalOptions &globals);
 
-/// Prints an object with `--json`, else the text.
+/// Prints the object if `--json` is set, otherwise the text.
 void print(const GlobalOptions &globals, const QJsonObject &object,
            const std::string &text);
 
-/// Prints a failed call of the platform and returns its exit code.
+/// Prints the error of a call to the platform and returns its exit code.
 int reportPlatformError(chicory::PlatformError error);
 
-/// One instance's answer over its admin side.
+/// The response of an instance's admin address.
 struct AdminResponse {
   chicory::Address At;
-  /// Nothing where it did not answer.
+  /// Empty if the instance did not respond with status 200.
   std::optional<QJsonObject> Body;
 };
 
-/// Asks every instance that `--admin`, the platform's list or another instance
-/// names.
+/// Requests a path from every instance that `--admin`, the platform's list or
+/// another instance's list of peers contains.
 std::vector<AdminResponse> queryInstances(const GlobalOptions &globals,
                                           const std::string &path);
 
--- a/programs/chicoryctl/LiveCommands.cpp
+++ b/programs/chicoryctl/LiveCommands.cpp
@@ -1,4 +1,5 @@
-// wait, explain, instances, targets and events: what the live instances say.
+// The commands that query running instances: wait, explain, instances, targets
+// and events.
 
 #include "Commands.h"
 
@@ -22,7 +23,7 @@
   std::string Flow;
 };
 
-std::string cell(const QJsonValue &value) {
+std::string formatValue(const QJsonValue &value) {
   if (value.isString())
     return value.toString().toStdString();
   if (value.isBool())
@@ -30,19 +31,19 @@
   return std::to_string(value.toInteger());
 }
 
-/// One line of key=value pairs, lists left out.
-std::string line(const QJsonObject &object) {
+/// Formats an object as one line of key=value pairs, without its lists.
+std::string formatLine(const QJsonObject &object) {
   std::string out;
   for (auto it = object.begin(); it != object.end(); ++it)
     if (!it->isArray())
-      out +=
-          (out.empty() ? "" : " ") + it.key().toStdString() + "=" + cell(*it);
+      out += (out.empty() ? "" : " ") + it.key().toStdString() + "=" +
+             formatValue(*it);
   return out + "\n";
 }
 
-int noAnswer() {
-  std::cerr << "no instance answered; name some with --admin IP:port or the "
-               "platform with --platform IP:port\n";
+int reportNoResponse() {
+  std::cerr << "no instance responded; set instance addresses with --admin "
+               "IP:port or the platform's with --platform IP:port\n";
   return ExitUnreachable;
 }
 
@@ -90,47 +91,47 @@
 }
 
 int explain(const GlobalOptions &globals, const LiveArguments &arguments) {
-  QJsonArray answers;
+  QJsonArray responses;
   std::string text;
   for (const AdminResponse &it :
        queryInstances(globals, "/explain?flow=" + arguments.Flow)) {
     if (!it.Body)
       continue;
-    answers.append(*it.Body);
-    text += line(*it.Body);
+    responses.append(*it.Body);
+    text += formatLine(*it.Body);
   }
-  if (answers.isEmpty())
-    return noAnswer();
-  print(globals, {{"answers", answers}}, text);
+  if (responses.isEmpty())
+    return reportNoResponse();
+  print(globals, {{"answers", responses}}, text);
   return ExitSuccess;
 }
 
-/// Prints each instance's answer, or the items of one of its lists.
+/// Prints each instance's response, or the items of one list in it.
 int listAll(const GlobalOptions &globals, const std::string &path,
             const char *listName) {
   QJsonArray out;
   std::string text;
-  bool answered = false;
+  bool responded = false;
   for (const AdminResponse &it : queryInstances(globals, path)) {
     std::string at = formatAddress(it.At);
     if (!it.Body) {
       text += "admin=" + at + " unreachable=yes\n";
       continue;
     }
-    answered = true;
+    responded = true;
     QJsonObject tagged = *it.Body;
     tagged["from"] = QString::fromStdString(at);
     out.append(tagged);
     if (listName == nullptr) {
-      text += line(tagged);
+      text += formatLine(tagged);
       continue;
     }
     const QJsonArray items = tagged[listName].toArray();
     for (const auto &item : items)
-      text += "from=" + at + " " + line(item.toObject());
+      text += "from=" + at + " " + formatLine(item.toObject());
   }
-  if (!answered)
-    return noAnswer();
+  if (!responded)
+    return reportNoResponse();
   print(globals, {{"instances", out}}, text);
   return ExitSuccess;
 }
@@ -147,28 +148,30 @@
   };
   CLI::App *waitCommand =
       command("wait",
-              "Wait until a version is in force on every instance\n"
+              "Wait until --version is in force on every instance\n"
               "Example: chicoryctl wait --version 8 --timeout 10",
               [shared, arguments] { return wait(*shared, *arguments); });
   waitCommand->add_option("--version", arguments->Version)->required();
-  waitCommand->add_option("--timeout", arguments->TimeoutSeconds, "Seconds");
+  waitCommand->add_option("--timeout", arguments->TimeoutSeconds,
+                          "Maximum wait in seconds");
   command("explain",
-          "Which rule, target and home a flow has, and why\n"
+          "Explain which rule, target and home a flow has and why\n"
           "Example: chicoryctl explain --flow "
           "10.0.0.1:5000,10.1.0.1:443,17",
           [shared, arguments] { return explain(*shared, *arguments); })
-      ->add_option("--flow", arguments->Flow, "SOURCE,DESTINATION,PROTOCOL")
+      ->add_option("--flow", arguments->Flow,
+                   "SOURCE,DESTINATION,PROTOCOL, as in the example")
       ->required();
   command("instances",
-          "What each instance says of itself\n"
+          "Show the status of each instance\n"
           "Example: chicoryctl instances",
           [shared] { return listAll(*shared, "/status", nullptr); });
   command("targets",
-          "Targets as each instance sees them\n"
+          "List the targets and their state on each instance\n"
           "Example: chicoryctl targets",
           [shared] { return listAll(*shared, "/targets", "targets"); });
   command("events",
-          "What each instance did lately\n"
+          "List the recent events of each instance\n"
           "Example: chicoryctl events",
           [shared] { return listAll(*shared, "/events", "events"); });
 }
--- a/programs/chicoryctl/RuleCommands.cpp
+++ b/programs/chicoryctl/RuleCommands.cpp
@@ -1,4 +1,5 @@
-// check, submit, show, history, diff, drain and undrain.
+// The commands for rule sets: check, submit, show, history, diff, drain and
+// undrain.
 
 #include "Commands.h"
 
@@ -18,9 +19,9 @@
 
 using namespace chicory;
 
-constexpr int DrainTries = 5;
+constexpr int MaxDrainAttempts = 5;
 
-/// What the commands of this file take.
+/// The arguments of the commands in this file.
 struct RuleArguments {
   std::string File;
   std::string SubmissionId;
@@ -45,7 +46,7 @@
   if (in)
     rules = readRuleFile(text.str(), file, findings);
   else
-    findings.add({.File = file}, "can't be read");
+    findings.add({.File = file}, "cannot be opened for reading");
   if (rules)
     return rules;
   QJsonArray list;
@@ -88,7 +89,8 @@
           {{"outcome", "conflict"},
            {"current", static_cast<qint64>(it->Current.Value)}},
           "conflict: the current version is " +
-              std::to_string(it->Current.Value) + "; nothing was changed\n");
+              std::to_string(it->Current.Value) +
+              "; the rule set was not changed\n");
     return ExitConflict;
   }
   if (const auto *it = std::get_if<OutcomeUnknown>(&outcome)) {
@@ -97,8 +99,8 @@
           {{"outcome", "unknown"},
            {"id", qid},
            {"reason", QString::fromStdString(why)}},
-          "outcome unknown (" + why + "): repeat it with --id " + id +
-              ", which is safe\n");
+          "outcome unknown (" + why +
+              "): to retry safely, submit again with --id " + id + "\n");
     return ExitOutcomeUnknown;
   }
   return reportPlatformError(std::get<NotSubmitted>(outcome).Why);
@@ -120,7 +122,8 @@
   return report(globals, outcome, rules->SubmissionId);
 }
 
-/// Reads one version, or the current one for zero. Prints what goes wrong.
+/// Reads a version of the rule set; zero means the current one. On failure,
+/// prints the error, sets `exitCode` and returns nothing.
 std::optional<RuleSet> fetchRules(KeyValueService &service, uint64_t version,
                                   int &exitCode) {
   RuleRegistry registry(service);
@@ -131,7 +134,7 @@
     return std::nullopt;
   }
   if (!*manifest) {
-    std::cerr << "no such version\n";
+    std::cerr << "the platform has no such rule set version\n";
     exitCode = ExitFindings;
     return std::nullopt;
   }
@@ -186,7 +189,7 @@
   return ExitSuccess;
 }
 
-/// The lines of a rule file, each block of a rule or service as one item.
+/// Splits a rule file into blocks: one for each rule, service and target.
 std::vector<std::string> blocksOf(const RuleSet &rules) {
   std::vector<std::string> out;
   std::istringstream in(writeRuleFile(rules));
@@ -220,7 +223,8 @@
   QJsonArray removed;
   QJsonArray added;
   std::string text;
-  auto note = [&](const std::string &block, char sign, QJsonArray &list) {
+  auto appendBlock = [&](const std::string &block, char sign,
+                         QJsonArray &list) {
     list.append(QString::fromStdString(block));
     std::istringstream in(block);
     for (std::string line; std::getline(in, line);)
@@ -228,20 +232,22 @@
   };
   for (const std::string &it : old)
     if (!freshSet.contains(it))
-      note(it, '-', removed);
+      appendBlock(it, '-', removed);
   for (const std::string &it : fresh)
     if (!oldSet.contains(it))
-      note(it, '+', added);
+      appendBlock(it, '+', added);
   print(globals, {{"removed", removed}, {"added", added}}, text);
   return ExitSuccess;
 }
 
-/// Sets a target's drain mark in the current rule set, against other writers.
+/// Sets the drain flag of a target in the current rule set. Retries if another
+/// submission changed the rule set in between.
 int setDrain(const GlobalOptions &globals, const std::string &text,
              bool drain) {
   auto id = parseAddress(text);
   if (!id) {
-    std::cerr << "\"" << text << "\" is no IP:port\n";
+    std::cerr << "\"" << text
+              << "\" is not an IP:port, such as \"10.0.0.5:8443\"\n";
     return ExitFindings;
   }
   auto service = connect(globals);
@@ -250,7 +256,7 @@
     return exitCode;
   SubmitOutcome outcome = Conflict{};
   std::string submissionId;
-  for (int n = 0; n < DrainTries; ++n) {
+  for (int n = 0; n < MaxDrainAttempts; ++n) {
     auto rules = fetchRules(*service, 0, exitCode);
     if (!rules)
       return exitCode;
@@ -262,7 +268,7 @@
           found = true;
         }
     if (!found) {
-      std::cerr << text << " is no target of the current rule set\n";
+      std::cerr << text << " is not a target of the current rule set\n";
       return ExitFindings;
     }
     RuleVersion base = rules->Version;
@@ -287,39 +293,41 @@
   };
   GlobalOptions *shared = &globals;
   command("check",
-          "Report every finding in a rule file\n"
+          "Report all errors in a rule file\n"
           "Example: chicoryctl check rules.toml",
           [shared, arguments] { return check(*shared, *arguments); })
       ->add_option("file", arguments->File, "The rule file")
       ->required();
   CLI::App *submitCommand =
       command("submit",
-              "Replace the rule set in force by a file\n"
+              "Replace the current rule set with a file\n"
               "Example: chicoryctl submit rules.toml --if-version 7",
               [shared, arguments] { return submit(*shared, *arguments); });
   submitCommand->add_option("file", arguments->File, "The rule file")
       ->required();
   submitCommand->add_option("--id", arguments->SubmissionId,
-                            "Repeats an earlier submission safely");
+                            "Id of an earlier submission, to retry it safely");
   submitCommand
       ->add_option("--if-version", arguments->IfVersion,
-                   "Only if this version is the current one")
+                   "Submit only if this version is the current one")
       ->each(
           [arguments](const std::string &) { arguments->HasIfVersion = true; });
   command("show", "Print a rule set\nExample: chicoryctl show --version 7",
           [shared, arguments] { return show(*shared, *arguments); })
-      ->add_option("--version", arguments->Version, "Default: the current");
-  command("history", "List the last versions\nExample: chicoryctl history",
+      ->add_option("--version", arguments->Version,
+                   "Rule set version (default: the current one)");
+  command("history",
+          "List the recent rule set versions\nExample: chicoryctl history",
           [shared] { return history(*shared); });
   CLI::App *diffCommand =
       command("diff",
-              "What changed between two versions\n"
+              "Show the changes between two rule set versions\n"
               "Example: chicoryctl diff 6 7",
               [shared, arguments] { return diff(*shared, *arguments); });
   diffCommand->add_option("old", arguments->Version)->required();
   diffCommand->add_option("new", arguments->Other)->required();
   command("drain",
-          "Give a target no new work; its flows stay\n"
+          "Send no new work to a target; keep its flows\n"
           "Example: chicoryctl drain 10.0.0.5:8443",
           [shared, arguments] {
             return setDrain(*shared, arguments->Target, true);
@@ -327,7 +335,7 @@
       ->add_option("target", arguments->Target, "IP:port")
       ->required();
   command("undrain",
-          "Give a target work again\n"
+          "Send new work to a target again\n"
           "Example: chicoryctl undrain 10.0.0.5:8443",
           [shared, arguments] {
             return setDrain(*shared, arguments->Target, false);
--- a/programs/chicoryd/Main.cpp
+++ b/programs/chicoryd/Main.cpp
@@ -1,7 +1,7 @@
-// chicoryd: one instance of the load balancer.
+// chicoryd: an instance of the load balancer.
 //
-// Exit codes: 0 after a planned stop, 1 where it can't start, 2 for findings
-// in the settings or the command line.
+// Exit codes: 0 after a planned stop, 1 if it cannot start, 2 for errors in the
+// settings or the command line.
 
 #include "chicorybank/daemon/Daemon.h"
 
@@ -21,15 +21,15 @@
 constexpr int ExitCannotStart = 1;
 constexpr int ExitFindings = 2;
 
-std::atomic<bool> StopAsked = false;
+std::atomic<bool> StopRequested = false;
 
-void onStopSignal(int /*signal*/) { StopAsked = true; }
+void onStopSignal(int /*signal*/) { StopRequested = true; }
 
-/// Reads settings; prints the findings where there are any.
+/// Reads a settings file. If it has errors, prints them and returns nothing.
 std::optional<chicory::Settings> loadSettings(const std::string &path) {
   std::ifstream in(path);
   if (!in) {
-    std::cerr << path << ": can't be read\n";
+    std::cerr << path << ": cannot be opened for reading\n";
     return std::nullopt;
   }
   std::ostringstream text;
@@ -61,30 +61,31 @@
     std::cerr << "chicoryd: " << started.error() << "\n";
     return ExitCannotStart;
   }
-  daemon.run(StopAsked);
+  daemon.run(StopRequested);
   return 0;
 }
 
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("One instance of the chicorybank load balancer.\n"
+  CLI::App app("Runs an instance of the chicorybank load balancer.\n"
                "Example: chicoryd run chicoryd.toml");
   app.require_subcommand(1);
   std::string path;
   CLI::App *runCommand = app.add_subcommand(
-      "run", "Run until SIGTERM, which begins a planned stop");
+      "run", "Run until SIGTERM or SIGINT, which begins a planned stop");
   runCommand->add_option("settings", path, "The settings file")->required();
   chicory::Placement placement = chicory::Placement::Pinned;
   std::map<std::string, chicory::Placement> placements = {
       {"no-pins", chicory::Placement::NoPins},
       {"no-peers", chicory::Placement::NoPeers}};
   runCommand
-      ->add_option("--baseline", placement,
-                   "For measurements only: a simpler placement of flows")
+      ->add_option(
+          "--baseline", placement,
+          "For measurements only: simpler flow placement, no-pins or no-peers")
       ->transform(CLI::CheckedTransformer(placements));
   CLI::App *checkCommand =
-      app.add_subcommand("check", "Report every finding in a settings file\n"
+      app.add_subcommand("check", "Report all errors in a settings file\n"
                                   "Example: chicoryd check chicoryd.toml");
   checkCommand->add_option("settings", path, "The settings file")->required();
   try {
