--- a/tests/PacketTest.cpp
+++ b/tests/PacketTest.cpp
@@ -10,9 +10,9 @@
 
 class PacketTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PacketTest);
-  CPPUNIT_TEST(readsBackWhatItWrites);
-  CPPUNIT_TEST(refusesBadDatagrams);
-  CPPUNIT_TEST(survivesGarbage);
+  CPPUNIT_TEST(decodesEncodedPackets);
+  CPPUNIT_TEST(refusesMalformedDatagrams);
+  CPPUNIT_TEST(doesNotCrashOnArbitraryBytes);
   CPPUNIT_TEST_SUITE_END();
 
   static Packet sample() {
@@ -32,10 +32,10 @@
             .Payload = "payload"};
   }
 
-  void readsBackWhatItWrites() {
+  void decodesEncodedPackets() {
     Packet packet = sample();
     auto read = chicory::decodePacket(encodePacket(packet));
-    expectTrue(read.has_value(), "it can be read");
+    expectTrue(read.has_value(), "the packet is decoded");
     expectTrue(read->Kind == packet.Kind && read->ToCaller &&
                    read->Flow == packet.Flow && read->Origin == packet.Origin &&
                    read->Request == packet.Request && read->Idempotent &&
@@ -44,25 +44,25 @@
                    read->Outcome == packet.Outcome && read->Why == packet.Why &&
                    read->RetryAfterMs == 250 && read->Draining &&
                    read->Payload == "payload",
-               "every field is the same");
+               "all fields are equal");
     auto head = chicory::decodePacketHeader(encodePacket(packet));
     expectTrue(head && head->Flow == packet.Flow && head->ToCaller,
-               "and so is the head");
+               "the fields of the header are equal");
   }
 
-  void refusesBadDatagrams() {
+  void refusesMalformedDatagrams() {
     QByteArray good = encodePacket(sample());
     section("empty", [&] {
       expectTrue(chicory::decodePacket({}).error() == Reason::BadPacket,
                  "bad packet");
     });
-    section("another version", [&] {
+    section("unsupported version", [&] {
       QByteArray other = good;
       other[1] = 2;
       expectTrue(chicory::decodePacket(other).error() == Reason::BadVersion,
                  "bad version");
     });
-    section("bytes after the end",
+    section("trailing bytes",
             [&] { expectTrue(!chicory::decodePacket(good + 'x'), "refused"); });
     section("too long", [&] {
       Packet large = sample();
@@ -70,24 +70,26 @@
       expectTrue(!chicory::decodePacket(encodePacket(large)), "refused");
       expectTrue(!chicory::decodePacketHeader(encodePacket(large)), "refused");
     });
-    section("cut off anywhere", [&] {
+    section("truncated at any length", [&] {
       for (qsizetype n = 0; n < good.size(); ++n)
         expectTrue(!chicory::decodePacket(good.left(n)), "refused");
     });
   }
 
-  void survivesGarbage() {
-    property("any bytes are refused or read, without a crash", [] {
+  void doesNotCrashOnArbitraryBytes() {
+    property("arbitrary bytes are refused or decoded without a crash", [] {
       auto bytes = *rc::gen::arbitrary<std::string>();
       (void)chicory::decodePacket(QByteArray::fromStdString(bytes));
       (void)chicory::decodePacketHeader(QByteArray::fromStdString(bytes));
     });
-    property("any damage is refused or read, without a crash", [] {
-      QByteArray bytes = encodePacket(sample());
-      auto at = *rc::gen::inRange<int>(0, static_cast<int>(bytes.size()));
-      bytes[at] = *rc::gen::arbitrary<char>();
-      (void)chicory::decodePacket(bytes);
-    });
+    property(
+        "a packet with any byte changed is refused or decoded without a crash",
+        [] {
+          QByteArray bytes = encodePacket(sample());
+          auto at = *rc::gen::inRange<int>(0, static_cast<int>(bytes.size()));
+          bytes[at] = *rc::gen::arbitrary<char>();
+          (void)chicory::decodePacket(bytes);
+        });
   }
 };
 
--- a/tests/ReasonsTest.cpp
+++ b/tests/ReasonsTest.cpp
@@ -1,4 +1,4 @@
-// Every reason has a counter and a line in the docs.
+// Tests that every reason has a unique name, a counter and a line in the docs.
 
 #include "chicorybank/base/Reasons.h"
 
@@ -28,12 +28,12 @@
 
 class ReasonsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReasonsTest);
-  CPPUNIT_TEST(haveNamesOfTheirOwn);
+  CPPUNIT_TEST(haveUniqueNames);
   CPPUNIT_TEST(haveACounterEach);
   CPPUNIT_TEST(haveALineInTheDocs);
   CPPUNIT_TEST_SUITE_END();
 
-  void haveNamesOfTheirOwn() {
+  void haveUniqueNames() {
     std::set<std::string_view> names;
     for (size_t i = 0; i < ReasonCount; ++i)
       names.insert(reasonName(static_cast<Reason>(i)));
