--- a/lib/base/TomlReader.cpp
+++ b/lib/base/TomlReader.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-template <typename Unit> Duration lengthOf(double count) {
+template <typename Unit> Duration toDuration(double count) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, typename Unit::period>(count));
 }
 
 std::optional<Duration> parseDuration(std::string_view text) {
-  // Enough for a year in milliseconds, and far from any overflow.
-  constexpr size_t MostDigits = 12;
+  // Allows a year in milliseconds and prevents overflow.
+  constexpr size_t MaxDigits = 12;
   size_t digits = text.find_first_not_of("0123456789.");
-  if (digits == 0 || digits == std::string_view::npos || digits > MostDigits)
+  if (digits == 0 || digits == std::string_view::npos || digits > MaxDigits)
     return std::nullopt;
   double count = 0;
   auto [end, ec] = std::from_chars(text.data(), text.data() + digits, count);
@@ -25,44 +25,45 @@
     return std::nullopt;
   std::string_view unit = text.substr(digits);
   if (unit == "us")
-    return lengthOf<std::chrono::microseconds>(count);
+    return toDuration<std::chrono::microseconds>(count);
   if (unit == "ms")
-    return lengthOf<std::chrono::milliseconds>(count);
+    return toDuration<std::chrono::milliseconds>(count);
   if (unit == "s")
-    return lengthOf<std::chrono::seconds>(count);
+    return toDuration<std::chrono::seconds>(count);
   if (unit == "min")
-    return lengthOf<std::chrono::minutes>(count);
+    return toDuration<std::chrono::minutes>(count);
   return std::nullopt;
 }
 
 } // namespace
 
-Place placeOf(const toml::node &node, const std::string &file) {
+SourceLocation locationOf(const toml::node &node, const std::string &file) {
   const toml::source_position &begin = node.source().begin;
   return {.File = file, .Line = begin.line, .Column = begin.column};
 }
 
 namespace {
 
-/// Looks for characters that TOML has in strings and comments alone.
+/// Finds characters beyond ASCII outside of strings and comments, where TOML
+/// does not allow them.
 ///
-/// What goes wrong without: the library is undefined for some of them between
-/// values, where an operator may well have pasted one; one sees a program that
-/// ends while it reads a file.
-class PlainTextCheck {
+/// Without this check, the TOML library has undefined behaviour for some of
+/// these characters between values, where an operator may have pasted one. The
+/// program then ends while it reads the file.
+class NonAsciiFinder {
 public:
-  explicit PlainTextCheck(std::string_view text) : Text(text) {}
+  explicit NonAsciiFinder(std::string_view text) : Text(text) {}
 
-  /// The place of the first such character, if there is one.
-  std::optional<Place> find(const std::string &file) {
+  /// Returns the location of the first such character, if there is one.
+  std::optional<SourceLocation> find(const std::string &file) {
     while (At < Text.size()) {
       char it = Text[At];
       if (it == '#')
-        passUntil("\n");
+        skipTo("\n");
       else if (it == '"' || it == '\'')
-        passString(it);
+        skipString(it);
       else if (static_cast<unsigned char>(it) > 0x7f)
-        return placeAt(file);
+        return locationAt(file);
       else
         ++At;
     }
@@ -70,10 +71,10 @@
   }
 
 private:
-  void passUntil(std::string_view end) {
+  void skipTo(std::string_view end) {
     At = std::min(Text.find(end, At), Text.size());
   }
-  void passString(char quote) {
+  void skipString(char quote) {
     std::string end(3, quote);
     bool multiline = Text.substr(At).starts_with(end);
     if (!multiline)
@@ -86,9 +87,9 @@
     }
     At = std::min(At + end.size(), Text.size());
   }
-  Place placeAt(const std::string &file) const {
+  SourceLocation locationAt(const std::string &file) const {
     std::string_view before = Text.substr(0, At);
-    size_t lineBegin = before.rfind('\n') + 1; // Nothing found: zero.
+    size_t lineBegin = before.rfind('\n') + 1; // npos + 1 is zero.
     auto lines = std::count(before.begin(), before.end(), '\n');
     return {.File = file,
             .Line = static_cast<uint32_t>(lines) + 1,
@@ -103,7 +104,7 @@
 
 std::optional<toml::table>
 parseToml(std::string_view text, const std::string &file, Findings &findings) {
-  if (auto place = PlainTextCheck(text).find(file)) {
+  if (auto place = NonAsciiFinder(text).find(file)) {
     findings.add(*place, "only strings and comments may have characters "
                          "beyond ASCII");
     return std::nullopt;
@@ -128,13 +129,13 @@
   return Table.get(key);
 }
 
-Place TomlReader::placeOf(std::string_view key) const {
+SourceLocation TomlReader::locationOf(std::string_view key) const {
   const toml::node *node = Table.get(key);
-  return chicory::placeOf(node != nullptr ? *node : Table, File);
+  return chicory::locationOf(node != nullptr ? *node : Table, File);
 }
 
-void TomlReader::fault(std::string_view key, std::string message) {
-  Faults.add(placeOf(key), std::string(key) + ": " + std::move(message));
+void TomlReader::addFinding(std::string_view key, std::string message) {
+  Faults.add(locationOf(key), std::string(key) + ": " + std::move(message));
 }
 
 std::string TomlReader::text(std::string_view key, std::string fallback) {
@@ -143,18 +144,18 @@
     return fallback;
   if (auto value = node->value_exact<std::string>())
     return *value;
-  fault(key, "expected a string");
+  addFinding(key, "expected a string");
   return fallback;
 }
 
 std::string TomlReader::requiredText(std::string_view key) {
   if (find(key) == nullptr) {
-    fault(key, "is missing");
+    addFinding(key, "required key is missing");
     return {};
   }
   std::string value = text(key, {});
   if (value.empty() && find(key)->is_string())
-    fault(key, "must not be empty");
+    addFinding(key, "must not be empty");
   return value;
 }
 
@@ -165,13 +166,13 @@
     return fallback;
   auto value = node->value_exact<int64_t>();
   if (!value) {
-    fault(key, "expected a whole number");
+    addFinding(key, "expected a whole number");
     return fallback;
   }
-  if (*value < bounds.Least || *value > bounds.Most) {
-    fault(key, "is " + std::to_string(*value) + ", expected " +
-                   std::to_string(bounds.Least) + " to " +
-                   std::to_string(bounds.Most));
+  if (*value < bounds.Min || *value > bounds.Max) {
+    addFinding(key, "is " + std::to_string(*value) + ", expected " +
+                        std::to_string(bounds.Min) + " to " +
+                        std::to_string(bounds.Max));
     return fallback;
   }
   return *value;
@@ -183,7 +184,7 @@
     return fallback;
   if (auto value = node->value_exact<bool>())
     return *value;
-  fault(key, "expected true or false");
+  addFinding(key, "expected true or false");
   return fallback;
 }
 
@@ -195,48 +196,50 @@
     return {};
   std::optional<Address> parsed = parseAddress(value);
   if (!parsed) {
-    fault(key, "\"" + value + "\" is no IP:port");
+    addFinding(key,
+               "\"" + value + "\" is not an IP:port, such as \"10.0.0.1:443\"");
     return {};
   }
   return *parsed;
 }
 
 Duration TomlReader::duration(std::string_view key, Duration fallback,
-                              Duration least, Duration most) {
+                              Duration min, Duration max) {
   if (find(key) == nullptr)
     return fallback;
   std::string value = text(key, {});
   std::optional<Duration> parsed = parseDuration(value);
   if (!parsed) {
-    fault(key, "expected a time with its unit, such as \"250ms\" or \"3s\"");
+    addFinding(key,
+               "expected a time with its unit, such as \"250ms\" or \"3s\"");
     return fallback;
   }
-  if (*parsed < least || *parsed > most) {
-    fault(key, "is " + std::to_string(parsed->count()) + "us, expected " +
-                   std::to_string(least.count()) + "us to " +
-                   std::to_string(most.count()) + "us");
+  if (*parsed < min || *parsed > max) {
+    addFinding(key, "is " + std::to_string(parsed->count()) + "us, expected " +
+                        std::to_string(min.count()) + "us to " +
+                        std::to_string(max.count()) + "us");
     return fallback;
   }
   return *parsed;
 }
 
-std::vector<std::pair<std::string, Place>>
+std::vector<std::pair<std::string, SourceLocation>>
 TomlReader::texts(std::string_view key) {
-  std::vector<std::pair<std::string, Place>> out;
+  std::vector<std::pair<std::string, SourceLocation>> out;
   const toml::node *node = find(key);
   if (node == nullptr)
     return out;
   if (auto value = node->value_exact<std::string>()) {
-    out.emplace_back(*value, placeOf(key));
+    out.emplace_back(*value, locationOf(key));
     return out;
   }
   const toml::array *array = node->as_array();
   if (array == nullptr) {
-    fault(key, "expected a string or a list of strings");
+    addFinding(key, "expected a string or a list of strings");
     return out;
   }
   for (const toml::node &it : *array) {
-    Place place = chicory::placeOf(it, File);
+    SourceLocation place = chicory::locationOf(it, File);
     if (auto value = it.value_exact<std::string>())
       out.emplace_back(*value, place);
     else
@@ -250,7 +253,7 @@
   if (node == nullptr)
     return nullptr;
   if (!node->is_table())
-    fault(key, "expected a table");
+    addFinding(key, "expected a table");
   return node->as_table();
 }
 
@@ -261,14 +264,14 @@
     return out;
   const toml::array *array = node->as_array();
   if (array == nullptr) {
-    fault(key, "expected a list of tables");
+    addFinding(key, "expected a list of tables");
     return out;
   }
   for (const toml::node &it : *array) {
     if (const toml::table *item = it.as_table())
       out.push_back(item);
     else
-      Faults.add(chicory::placeOf(it, File),
+      Faults.add(chicory::locationOf(it, File),
                  std::string(key) + ": expected a table");
   }
   return out;
@@ -277,7 +280,7 @@
 void TomlReader::finish() {
   for (const auto &[key, node] : Table)
     if (!Known.contains(key.str()))
-      Faults.add(chicory::placeOf(node, File),
+      Faults.add(chicory::locationOf(node, File),
                  "unknown key \"" + std::string(key.str()) + "\"");
 }
 
--- a/lib/cbor/CborReader.cpp
+++ b/lib/cbor/CborReader.cpp
@@ -5,18 +5,18 @@
 QCborValue decodeCbor(const QByteArray &bytes) {
   QCborParserError error;
   QCborValue value = QCborValue::fromCbor(bytes, &error);
-  bool whole = error.error == QCborError{QCborError::NoError} &&
-               error.offset == bytes.size();
-  return whole ? value : QCborValue(QCborValue::Invalid);
+  bool complete = error.error == QCborError{QCborError::NoError} &&
+                  error.offset == bytes.size();
+  return complete ? value : QCborValue(QCborValue::Invalid);
 }
 
 CborReader::CborReader(const QCborValue &value)
     : Items(value.toArray()), Ok(value.isArray()) {}
 
-qint64 CborReader::number(qint64 most) {
+qint64 CborReader::number(qint64 max) {
   QCborValue value = next();
   qint64 out = value.toInteger(-1);
-  require(value.isInteger() && out >= 0 && out <= most);
+  require(value.isInteger() && out >= 0 && out <= max);
   return out;
 }
 
--- a/programs/chicoryctl/Commands.cpp
+++ b/programs/chicoryctl/Commands.cpp
@@ -25,7 +25,7 @@
       .object();
 }
 
-std::set<chicory::Address> adminAddresses(const Globals &globals) {
+std::set<chicory::Address> adminAddresses(const GlobalOptions &globals) {
   std::set<chicory::Address> out;
   for (const std::string &it : globals.Admin)
     if (auto at = chicory::parseAddress(it))
@@ -46,25 +46,27 @@
 
 } // namespace
 
-std::unique_ptr<chicory::KeyValueService> connect(const Globals &globals) {
+std::unique_ptr<chicory::KeyValueService>
+connect(const GlobalOptions &globals) {
   chicory::PlatformClientOptions options;
   for (const std::string &it : globals.Platform) {
     auto server = chicory::parseAddress(it);
     if (!server) {
-      std::cerr << "--platform: \"" << it << "\" is no IP:port\n";
+      std::cerr << "--platform: \"" << it
+                << "\" is not an IP:port, such as \"10.0.0.1:2379\"\n";
       return nullptr;
     }
     options.Servers.push_back(*server);
   }
   if (options.Servers.empty()) {
-    std::cerr << "name the platform with --platform IP:port or "
+    std::cerr << "no platform address given; set --platform IP:port or "
                  "CHICORY_PLATFORM\n";
     return nullptr;
   }
   return chicory::makePlatformClient(options);
 }
 
-void print(const Globals &globals, const QJsonObject &object,
+void print(const GlobalOptions &globals, const QJsonObject &object,
            const std::string &text) {
   if (globals.Json)
     std::cout
@@ -74,21 +76,23 @@
     std::cout << text;
 }
 
-int platformFailed(chicory::PlatformError error) {
-  std::cerr << "platform: " << chicory::platformErrorName(error) << '\n';
-  return ExitNotReached;
+int reportPlatformError(chicory::PlatformError error) {
+  std::cerr << "request to the platform failed: "
+            << chicory::platformErrorName(error) << '\n';
+  return ExitUnreachable;
 }
 
-std::vector<AdminAnswer> askAll(const Globals &globals,
-                                const std::string &path) {
-  std::vector<AdminAnswer> out;
-  std::set<chicory::Address> open = adminAddresses(globals);
-  std::set<chicory::Address> asked;
-  // The platform's list lags; instances name the peers that they hear.
-  while (!open.empty()) {
-    chicory::Address at = *open.begin();
-    open.erase(open.begin());
-    if (!asked.insert(at).second)
+std::vector<AdminResponse> queryInstances(const GlobalOptions &globals,
+                                          const std::string &path) {
+  std::vector<AdminResponse> out;
+  std::set<chicory::Address> pending = adminAddresses(globals);
+  std::set<chicory::Address> queried;
+  // The platform's list may be out of date, so the peers from which the
+  // instances receive heartbeats are queried too.
+  while (!pending.empty()) {
+    chicory::Address at = *pending.begin();
+    pending.erase(pending.begin());
+    if (!queried.insert(at).second)
       continue;
     out.push_back({.At = at, .Body = fetch(at, path)});
     auto status = fetch(at, "/status");
@@ -100,13 +104,13 @@
       auto admin =
           chicory::parseAddress(peer["admin"].toString().toStdString());
       if (admin && peer["heard"].toBool())
-        open.insert(*admin);
+        pending.insert(*admin);
     }
   }
   return out;
 }
 
-void addCommands(CLI::App &app, Globals &globals) {
+void addCommands(CLI::App &app, GlobalOptions &globals) {
   addRuleCommands(app, globals);
   addLiveCommands(app, globals);
 }
--- a/programs/chicoryctl/Commands.h
+++ b/programs/chicoryctl/Commands.h
@@ -1,4 +1,4 @@
-// The commands of `chicoryctl` and what they share.
+// The commands of `chicoryctl` and the functions that they share.
 
 #ifndef CHICORYBANK_PROGRAMS_CHICORYCTL_COMMANDS_H
 #define CHICORYBANK_PROGRAMS_CHICORYCTL_COMMANDS_H
@@ -19,50 +19,51 @@
 
 /// The exit codes; docs/OPERATIONS.md has the same list.
 enum ExitCode : int {
-  ExitDone = 0,
-  ExitNotReached = 1,
+  ExitSuccess = 0,
+  ExitUnreachable = 1,
   ExitFindings = 2,
   ExitConflict = 3,
   ExitOutcomeUnknown = 4,
   ExitNotInForce = 5,
 };
 
-/// Options that every command has.
-struct Globals {
+/// The options that all commands have in common.
+struct GlobalOptions {
   std::vector<std::string> Platform;
   std::vector<std::string> Admin;
   bool Json = false;
-  /// The command that the line asks for.
+  /// Runs the command of the command line and returns its exit code.
   std::function<int()> Run;
 };
 
-/// Adds all commands. The one that is parsed sets `globals.Run`.
-void addCommands(CLI::App &app, Globals &globals);
+/// Adds all commands. Parsing a command sets `globals.Run`.
+void addCommands(CLI::App &app, GlobalOptions &globals);
 
-void addRuleCommands(CLI::App &app, Globals &globals);
-void addLiveCommands(CLI::App &app, Globals &globals);
+void addRuleCommands(CLI::App &app, GlobalOptions &globals);
+void addLiveCommands(CLI::App &app, GlobalOptions &globals);
 
-/// A client of the platform; null, with a message, where none was named.
-std::unique_ptr<chicory::KeyValueService> connect(const Globals &globals);
+/// Returns a client of the platform. If `--platform` is absent or not IP:port,
+/// prints an error and returns null.
+std::unique_ptr<chicory::KeyValueService> connect(const GlobalOptions &globals);
 
-/// Prints an object with `--json`, else the text.
-void print(const Globals &globals, const QJsonObject &object,
+/// Prints the object if `--json` is set, otherwise the text.
+void print(const GlobalOptions &globals, const QJsonObject &object,
            const std::string &text);
 
-/// Prints a failed call of the platform and returns its exit code.
-int platformFailed(chicory::PlatformError error);
+/// Prints the error of a call to the platform and returns its exit code.
+int reportPlatformError(chicory::PlatformError error);
 
-/// One instance's answer over its admin side.
-struct AdminAnswer {
+/// The response of an instance's admin address.
+struct AdminResponse {
   chicory::Address At;
-  /// Nothing where it did not answer.
+  /// Empty if the instance did not respond with status 200.
   std::optional<QJsonObject> Body;
 };
 
-/// Asks every instance that `--admin`, the platform's list or another instance
-/// names.
-std::vector<AdminAnswer> askAll(const Globals &globals,
-                                const std::string &path);
+/// Requests a path from every instance that `--admin`, the platform's list or
+/// another instance's list of peers contains.
+std::vector<AdminResponse> queryInstances(const GlobalOptions &globals,
+                                          const std::string &path);
 
 } // namespace chicoryctl
 
--- a/programs/chicoryctl/RuleCommands.cpp
+++ b/programs/chicoryctl/RuleCommands.cpp
@@ -1,4 +1,5 @@
-// check, submit, show, history, diff, drain and undrain.
+// The commands for rule sets: check, submit, show, history, diff, drain and
+// undrain.
 
 #include "Commands.h"
 
@@ -18,9 +19,9 @@
 
 using namespace chicory;
 
-constexpr int DrainTries = 5;
+constexpr int MaxDrainAttempts = 5;
 
-/// What the commands of this file take.
+/// The arguments of the commands in this file.
 struct RuleArguments {
   std::string File;
   std::string SubmissionId;
@@ -35,7 +36,7 @@
   return QUuid::createUuid().toString(QUuid::WithoutBraces).toStdString();
 }
 
-std::optional<RuleSet> loadRules(const Globals &globals,
+std::optional<RuleSet> loadRules(const GlobalOptions &globals,
                                  const std::string &file) {
   std::ifstream in(file);
   std::ostringstream text;
@@ -45,7 +46,7 @@
   if (in)
     rules = readRuleFile(text.str(), file, findings);
   else
-    findings.add({.File = file}, "can't be read");
+    findings.add({.File = file}, "cannot be opened for reading");
   if (rules)
     return rules;
   QJsonArray list;
@@ -61,7 +62,7 @@
   return std::nullopt;
 }
 
-int check(const Globals &globals, const RuleArguments &arguments) {
+int check(const GlobalOptions &globals, const RuleArguments &arguments) {
   auto rules = loadRules(globals, arguments.File);
   if (!rules)
     return ExitFindings;
@@ -69,10 +70,10 @@
         arguments.File + ": no findings, " +
             std::to_string(rules->Rules.size()) + " rules, " +
             std::to_string(rules->Services.size()) + " services\n");
-  return ExitDone;
+  return ExitSuccess;
 }
 
-int report(const Globals &globals, const SubmitOutcome &outcome,
+int report(const GlobalOptions &globals, const SubmitOutcome &outcome,
            const std::string &id) {
   QString qid = QString::fromStdString(id);
   if (const auto *it = std::get_if<Accepted>(&outcome)) {
@@ -81,14 +82,15 @@
            {"version", static_cast<qint64>(it->Version.Value)},
            {"id", qid}},
           "accepted version=" + std::to_string(it->Version.Value) + "\n");
-    return ExitDone;
+    return ExitSuccess;
   }
   if (const auto *it = std::get_if<Conflict>(&outcome)) {
     print(globals,
           {{"outcome", "conflict"},
            {"current", static_cast<qint64>(it->Current.Value)}},
           "conflict: the current version is " +
-              std::to_string(it->Current.Value) + "; nothing was changed\n");
+              std::to_string(it->Current.Value) +
+              "; the rule set was not changed\n");
     return ExitConflict;
   }
   if (const auto *it = std::get_if<OutcomeUnknown>(&outcome)) {
@@ -97,14 +99,14 @@
           {{"outcome", "unknown"},
            {"id", qid},
            {"reason", QString::fromStdString(why)}},
-          "outcome unknown (" + why + "): repeat it with --id " + id +
-              ", which is safe\n");
+          "outcome unknown (" + why +
+              "): to retry safely, submit again with --id " + id + "\n");
     return ExitOutcomeUnknown;
   }
-  return platformFailed(std::get<NotSubmitted>(outcome).Why);
+  return reportPlatformError(std::get<NotSubmitted>(outcome).Why);
 }
 
-int submit(const Globals &globals, const RuleArguments &arguments) {
+int submit(const GlobalOptions &globals, const RuleArguments &arguments) {
   auto rules = loadRules(globals, arguments.File);
   if (!rules)
     return ExitFindings;
@@ -120,35 +122,36 @@
   return report(globals, outcome, rules->SubmissionId);
 }
 
-/// Reads one version, or the current one for zero. Prints what goes wrong.
+/// Reads a version of the rule set; zero means the current one. On failure,
+/// prints the error, sets `exitCode` and returns nothing.
 std::optional<RuleSet> fetchRules(KeyValueService &service, uint64_t version,
                                   int &exitCode) {
   RuleRegistry registry(service);
   auto manifest = version == 0 ? registry.currentManifest()
                                : registry.manifestOf(RuleVersion{version});
   if (!manifest) {
-    exitCode = platformFailed(manifest.error());
+    exitCode = reportPlatformError(manifest.error());
     return std::nullopt;
   }
   if (!*manifest) {
-    std::cerr << "no such version\n";
+    std::cerr << "the platform has no such rule set version\n";
     exitCode = ExitFindings;
     return std::nullopt;
   }
   PageStore pages;
   if (auto fetched = registry.fetchPages(**manifest, pages); !fetched) {
-    exitCode = platformFailed(fetched.error());
+    exitCode = reportPlatformError(fetched.error());
     return std::nullopt;
   }
   auto rules = assemble(**manifest, pages);
   if (!rules) {
-    exitCode = platformFailed(PlatformError::BadResponse);
+    exitCode = reportPlatformError(PlatformError::BadResponse);
     return std::nullopt;
   }
   return *rules;
 }
 
-int show(const Globals &globals, const RuleArguments &arguments) {
+int show(const GlobalOptions &globals, const RuleArguments &arguments) {
   auto service = connect(globals);
   int exitCode = ExitFindings;
   if (service == nullptr)
@@ -161,16 +164,16 @@
         {{"version", static_cast<qint64>(rules->Version.Value)},
          {"toml", QString::fromStdString(text)}},
         "# version " + std::to_string(rules->Version.Value) + "\n" + text);
-  return ExitDone;
+  return ExitSuccess;
 }
 
-int history(const Globals &globals) {
+int history(const GlobalOptions &globals) {
   auto service = connect(globals);
   if (service == nullptr)
     return ExitFindings;
   auto manifests = RuleRegistry(*service).history();
   if (!manifests)
-    return platformFailed(manifests.error());
+    return reportPlatformError(manifests.error());
   QJsonArray list;
   std::string text;
   for (const RuleManifest &it : *manifests) {
@@ -183,10 +186,10 @@
             " pages=" + std::to_string(it.allPages().size()) + "\n";
   }
   print(globals, {{"versions", list}}, text);
-  return ExitDone;
+  return ExitSuccess;
 }
 
-/// The lines of a rule file, each block of a rule or service as one item.
+/// Splits a rule file into blocks: one for each rule, service and target.
 std::vector<std::string> blocksOf(const RuleSet &rules) {
   std::vector<std::string> out;
   std::istringstream in(writeRuleFile(rules));
@@ -202,7 +205,7 @@
   return out;
 }
 
-int diff(const Globals &globals, const RuleArguments &arguments) {
+int diff(const GlobalOptions &globals, const RuleArguments &arguments) {
   auto service = connect(globals);
   int exitCode = ExitFindings;
   if (service == nullptr)
@@ -220,7 +223,8 @@
   QJsonArray removed;
   QJsonArray added;
   std::string text;
-  auto note = [&](const std::string &block, char sign, QJsonArray &list) {
+  auto appendBlock = [&](const std::string &block, char sign,
+                         QJsonArray &list) {
     list.append(QString::fromStdString(block));
     std::istringstream in(block);
     for (std::string line; std::getline(in, line);)
@@ -228,19 +232,22 @@
   };
   for (const std::string &it : old)
     if (!freshSet.contains(it))
-      note(it, '-', removed);
+      appendBlock(it, '-', removed);
   for (const std::string &it : fresh)
     if (!oldSet.contains(it))
-      note(it, '+', added);
+      appendBlock(it, '+', added);
   print(globals, {{"removed", removed}, {"added", added}}, text);
-  return ExitDone;
+  return ExitSuccess;
 }
 
-/// Sets a target's drain mark in the current rule set, against other writers.
-int setDrain(const Globals &globals, const std::string &text, bool drain) {
+/// Sets the drain flag of a target in the current rule set. Retries if another
+/// submission changed the rule set in between.
+int setDrain(const GlobalOptions &globals, const std::string &text,
+             bool drain) {
   auto id = parseAddress(text);
   if (!id) {
-    std::cerr << "\"" << text << "\" is no IP:port\n";
+    std::cerr << "\"" << text
+              << "\" is not an IP:port, such as \"10.0.0.5:8443\"\n";
     return ExitFindings;
   }
   auto service = connect(globals);
@@ -249,7 +256,7 @@
     return exitCode;
   SubmitOutcome outcome = Conflict{};
   std::string submissionId;
-  for (int n = 0; n < DrainTries; ++n) {
+  for (int n = 0; n < MaxDrainAttempts; ++n) {
     auto rules = fetchRules(*service, 0, exitCode);
     if (!rules)
       return exitCode;
@@ -261,7 +268,7 @@
           found = true;
         }
     if (!found) {
-      std::cerr << text << " is no target of the current rule set\n";
+      std::cerr << text << " is not a target of the current rule set\n";
       return ExitFindings;
     }
     RuleVersion base = rules->Version;
@@ -276,7 +283,7 @@
 
 } // namespace
 
-void addRuleCommands(CLI::App &app, Globals &globals) {
+void addRuleCommands(CLI::App &app, GlobalOptions &globals) {
   auto arguments = std::make_shared<RuleArguments>();
   auto command = [&app, &globals](const char *name, const char *help,
                                   auto run) {
@@ -284,41 +291,43 @@
     out->callback([&globals, run] { globals.Run = run; });
     return out;
   };
-  Globals *shared = &globals;
+  GlobalOptions *shared = &globals;
   command("check",
-          "Report every finding in a rule file\n"
+          "Report all errors in a rule file\n"
           "Example: chicoryctl check rules.toml",
           [shared, arguments] { return check(*shared, *arguments); })
       ->add_option("file", arguments->File, "The rule file")
       ->required();
   CLI::App *submitCommand =
       command("submit",
-              "Replace the rule set in force by a file\n"
+              "Replace the current rule set with a file\n"
               "Example: chicoryctl submit rules.toml --if-version 7",
               [shared, arguments] { return submit(*shared, *arguments); });
   submitCommand->add_option("file", arguments->File, "The rule file")
       ->required();
   submitCommand->add_option("--id", arguments->SubmissionId,
-                            "Repeats an earlier submission safely");
+                            "Id of an earlier submission, to retry it safely");
   submitCommand
       ->add_option("--if-version", arguments->IfVersion,
-                   "Only if this version is the current one")
+                   "Submit only if this version is the current one")
       ->each(
           [arguments](const std::string &) { arguments->HasIfVersion = true; });
   command("show", "Print a rule set\nExample: chicoryctl show --version 7",
           [shared, arguments] { return show(*shared, *arguments); })
-      ->add_option("--version", arguments->Version, "Default: the current");
-  command("history", "List the last versions\nExample: chicoryctl history",
+      ->add_option("--version", arguments->Version,
+                   "Rule set version (default: the current one)");
+  command("history",
+          "List the recent rule set versions\nExample: chicoryctl history",
           [shared] { return history(*shared); });
   CLI::App *diffCommand =
       command("diff",
-              "What changed between two versions\n"
+              "Show the changes between two rule set versions\n"
               "Example: chicoryctl diff 6 7",
               [shared, arguments] { return diff(*shared, *arguments); });
   diffCommand->add_option("old", arguments->Version)->required();
   diffCommand->add_option("new", arguments->Other)->required();
   command("drain",
-          "Give a target no new work; its flows stay\n"
+          "Send no new work to a target; keep its flows\n"
           "Example: chicoryctl drain 10.0.0.5:8443",
           [shared, arguments] {
             return setDrain(*shared, arguments->Target, true);
@@ -326,7 +335,7 @@
       ->add_option("target", arguments->Target, "IP:port")
       ->required();
   command("undrain",
-          "Give a target work again\n"
+          "Send new work to a target again\n"
           "Example: chicoryctl undrain 10.0.0.5:8443",
           [shared, arguments] {
             return setDrain(*shared, arguments->Target, false);
