--- a/standins/backend/Main.cpp
+++ b/standins/backend/Main.cpp
@@ -46,12 +46,12 @@
   standin::BackendOptions Options;
 
 private:
-  void command(BackendTarget &target, const std::string &verb);
-  void cutNet(BackendTarget &target, const std::string &verb);
+  void runCommand(BackendTarget &target, const std::string &verb);
+  void setNetCut(BackendTarget &target, const std::string &verb);
   QJsonObject stats();
 
   std::mutex Lock;
-  standin::SharedView Shared;
+  standin::SharedState Shared;
   std::vector<std::unique_ptr<BackendTarget>> Targets;
 };
 
@@ -101,24 +101,24 @@
   }
 }
 
-void Backends::command(BackendTarget &target, const std::string &verb) {
+void Backends::runCommand(BackendTarget &target, const std::string &verb) {
   if (verb == "drain" || verb == "undrain")
-    target.drain(verb == "drain", nowMs());
+    target.setDraining(verb == "drain", nowMs());
   else if (verb == "shed" || verb == "unshed")
-    target.shedAll(verb == "shed");
+    target.setShedAll(verb == "shed");
   else if (verb == "die" || verb == "live")
-    target.dead(verb == "die");
+    target.setStopped(verb == "die");
   else if (verb == "mislead" || verb == "honest")
-    target.misleadReports(verb == "mislead");
+    target.setMisreportsLoad(verb == "mislead");
   else if (verb == "silence")
-    target.silence(SilencedShare);
+    target.silenceFlows(SilencedShare);
   else if (verb == "uncut")
-    target.cut(0, 0, true);
+    target.setCut(0, 0, true);
   else if (verb.rfind("cut", 0) == 0)
-    cutNet(target, verb);
+    setNetCut(target, verb);
 }
 
-void Backends::cutNet(BackendTarget &target, const std::string &verb) {
+void Backends::setNetCut(BackendTarget &target, const std::string &verb) {
   size_t colon = verb.find(':');
   size_t slash = verb.find('/');
   if (colon == std::string::npos || slash == std::string::npos)
@@ -126,12 +126,12 @@
   auto ip = chicory::parseIp(verb.substr(colon + 1, slash - colon - 1));
   uint32_t mask = ~0U << (32 - std::atoi(verb.c_str() + slash + 1));
   bool inside = verb.substr(0, colon) == "cut";
-  target.cut(ip.value_or(0) & mask, mask, inside);
+  target.setCut(ip.value_or(0) & mask, mask, inside);
 }
 
 QJsonObject Backends::stats() {
   QJsonArray targets;
-  int64_t drainLastNew = 0;
+  int64_t drainLastNewMs = 0;
   for (const auto &it : Targets) {
     targets.append(QJsonObject{
         {"service", QString::fromStdString(it->service())},
@@ -140,7 +140,7 @@
         {"executed", static_cast<qint64>(it->executed())},
         {"sheds", static_cast<qint64>(it->sheds())},
         {"flows", static_cast<qint64>(it->flows())}});
-    drainLastNew = std::max(drainLastNew, it->lastNewAfterDrain());
+    drainLastNewMs = std::max(drainLastNewMs, it->lastNewAfterDrainMs());
   }
   qint64 twice = 0;
   for (const auto &[request, runs] : Shared.Runs)
@@ -149,7 +149,7 @@
   return {{"targets", targets},
           {"run_twice", twice},
           {"misrouted", static_cast<qint64>(Shared.Misrouted)},
-          {"drain_last_new_ms", static_cast<qint64>(drainLastNew)}};
+          {"drain_last_new_ms", static_cast<qint64>(drainLastNewMs)}};
 }
 
 void Backends::serve(httplib::Server &server) {
@@ -159,7 +159,7 @@
     std::string wanted = request.get_param_value("target");
     for (const auto &it : Targets)
       if (wanted == "all" || chicory::formatAddress(it->address()) == wanted)
-        command(*it, request.get_param_value("do"));
+        runCommand(*it, request.get_param_value("do"));
     response.set_content("{}", "application/json");
   });
   server.Get("/stats", [this](const httplib::Request & /*request*/,
@@ -190,8 +190,8 @@
   app.add_option("--service", services, "NAME=IP,IP,...")->required();
   app.add_option("--seed", seed, "For work times");
   app.add_option("--slots", backends.Options.Slots, "Requests at a time");
-  app.add_option("--work-ms-least", backends.Options.WorkMsLeast, "");
-  app.add_option("--work-ms-most", backends.Options.WorkMsMost, "");
+  app.add_option("--work-ms-least", backends.Options.WorkMsMin, "");
+  app.add_option("--work-ms-most", backends.Options.WorkMsMax, "");
   CLI11_PARSE(app, argc, argv);
   auto fabric = chicory::parseAddress(fabricText);
   if (!fabric)
--- a/standins/backend/Target.cpp
+++ b/standins/backend/Target.cpp
@@ -13,7 +13,7 @@
 using chicory::Reason;
 
 constexpr size_t MaxDatagram = 2048;
-constexpr int MaxReadsPerTurn = 256;
+constexpr int MaxReadsPerPoll = 256;
 constexpr qsizetype PartBytes = 200;
 
 int64_t wallMs() {
@@ -27,14 +27,14 @@
 BackendTarget::BackendTarget(std::string service,
                              chicory::FileDescriptor socket,
                              chicory::Address fabric,
-                             const BackendOptions &options, SharedView &shared,
+                             const BackendOptions &options, SharedState &shared,
                              uint64_t seed)
     : Service(std::move(service)), Socket(std::move(socket)),
       Self(chicory::boundAddress(Socket)), Fabric(fabric), Options(options),
       Shared(shared), Random(seed) {}
 
 void BackendTarget::receive(int64_t nowMs) {
-  for (int n = 0; n < MaxReadsPerTurn; ++n) {
+  for (int n = 0; n < MaxReadsPerPoll; ++n) {
     QByteArray buf(MaxDatagram, '\0');
     sockaddr_in raw{};
     socklen_t size = sizeof(raw);
@@ -47,15 +47,15 @@
     bool inside = (from.Ip & CutMask) == CutIp;
     bool cutOff = CutMask != 0 && inside == CutInside;
     auto packet = chicory::decodePacket(buf);
-    if (packet && !Dead && !cutOff)
+    if (packet && !Stopped && !cutOff)
       handle(*packet, from, nowMs);
   }
 }
 
 void BackendTarget::send(const Packet &packet, chicory::Address to) {
-  Packet signedOff = packet;
-  signedOff.Origin = Self;
-  QByteArray bytes = chicory::encodePacket(signedOff);
+  Packet outgoing = packet;
+  outgoing.Origin = Self;
+  QByteArray bytes = chicory::encodePacket(outgoing);
   sockaddr_in raw = chicory::toSockaddr(to);
   ::sendto(Socket.get(), bytes.constData(), static_cast<size_t>(bytes.size()),
            0, reinterpret_cast<sockaddr *>(&raw), sizeof(raw));
@@ -82,12 +82,12 @@
     });
     return;
   case PacketKind::Probe: {
-    uint32_t load = Mislead ? 0 : static_cast<uint32_t>(Running.size());
+    uint32_t load = MisreportsLoad ? 0 : static_cast<uint32_t>(Running.size());
     Packet report{.Kind = PacketKind::Report,
                   .ToCaller = true,
                   .Flow = packet.Flow,
                   .Part = load,
-                  .Draining = Draining && !Mislead};
+                  .Draining = Draining && !MisreportsLoad};
     return send(report, from);
   }
   default:
@@ -95,21 +95,21 @@
   }
 }
 
-void BackendTarget::checkService(const Packet &packet) {
+void BackendTarget::countIfMisrouted(const Packet &packet) {
   // Callers write the name of the service that they mean into each payload.
   if (!packet.Payload.startsWith(QByteArray::fromStdString(Service)))
     ++Shared.Misrouted;
 }
 
-void BackendTarget::noteNew(int64_t nowMs) {
+void BackendTarget::recordNewWork(int64_t nowMs) {
   if (Draining)
-    LastNewAfterDrain = std::max(LastNewAfterDrain, nowMs - DrainBeganMs);
+    LastNewAfterDrainMs = std::max(LastNewAfterDrainMs, nowMs - DrainStartMs);
 }
 
 void BackendTarget::onOpen(const Packet &packet, int64_t nowMs) {
-  checkService(packet);
+  countIfMisrouted(packet);
   if (!Flows.contains(packet.Flow)) {
-    noteNew(nowMs);
+    recordNewWork(nowMs);
     if (Flows.size() >= Options.Connections)
       return send(
           {.Kind = PacketKind::Reset, .ToCaller = true, .Flow = packet.Flow},
@@ -127,7 +127,7 @@
 }
 
 void BackendTarget::onData(const Packet &packet) {
-  checkService(packet);
+  countIfMisrouted(packet);
   auto holder = Shared.Flows.find(packet.Flow);
   if (holder != Shared.Flows.end() && holder->second.Service != Service)
     ++Shared.Misrouted;
@@ -157,8 +157,8 @@
 }
 
 void BackendTarget::onRequest(const Packet &packet, int64_t nowMs) {
-  checkService(packet);
-  noteNew(nowMs);
+  countIfMisrouted(packet);
+  recordNewWork(nowMs);
   if (Draining)
     return refuse(packet, Reason::TargetDraining);
   if (ShedAll || Running.size() >= Options.Slots)
@@ -170,12 +170,11 @@
   if (!packet.Idempotent)
     Shared.NotIdempotent.insert(packet.Request.Value);
   ++Executed;
-  std::uniform_int_distribution<int> work(Options.WorkMsLeast,
-                                          Options.WorkMsMost);
+  std::uniform_int_distribution<int> work(Options.WorkMsMin, Options.WorkMsMax);
   Running.push_back({.EndMs = nowMs + work(Random), .Request = packet});
 }
 
-void BackendTarget::answer(const Packet &request) {
+void BackendTarget::sendAnswer(const Packet &request) {
   std::vector<uint32_t> parts;
   for (uint32_t i = 0; i < Options.AnswerParts; ++i)
     parts.push_back(i);
@@ -198,15 +197,15 @@
       ++i;
       continue;
     }
-    if (!Dead)
-      answer(Running[i].Request);
+    if (!Stopped)
+      sendAnswer(Running[i].Request);
     Running.erase(Running.begin() + static_cast<ptrdiff_t>(i));
   }
   for (auto &[flow, feed] : Flows) {
     if (feed.NextMs > nowMs)
       continue;
     feed.NextMs += Options.FeedIntervalMs;
-    if (feed.Silent || Dead)
+    if (feed.Silent || Stopped)
       continue;
     send({.Kind = PacketKind::Data,
           .ToCaller = true,
@@ -216,18 +215,18 @@
   }
 }
 
-void BackendTarget::drain(bool on, int64_t nowMs) {
+void BackendTarget::setDraining(bool on, int64_t nowMs) {
   Draining = on;
-  DrainBeganMs = nowMs;
+  DrainStartMs = nowMs;
 }
 
-void BackendTarget::silence(double share) {
+void BackendTarget::silenceFlows(double share) {
   std::uniform_real_distribution<double> chance(0, 1);
   for (auto &[flow, feed] : Flows)
     feed.Silent = chance(Random) < share;
 }
 
-void BackendTarget::cut(uint32_t ip, uint32_t mask, bool inside) {
+void BackendTarget::setCut(uint32_t ip, uint32_t mask, bool inside) {
   CutInside = inside;
   CutIp = ip;
   CutMask = mask;
--- a/standins/backend/Target.h
+++ b/standins/backend/Target.h
@@ -19,15 +19,15 @@
 struct BackendOptions {
   uint32_t Slots = 2;
   uint32_t Connections = 2000;
-  int WorkMsLeast = 20;
-  int WorkMsMost = 60;
+  int WorkMsMin = 20;
+  int WorkMsMax = 60;
   int FeedIntervalMs = 1000;
   uint32_t AnswerParts = 3;
 };
 
 /// What all backend servers of a process see together. A packet that one of
 /// them gets for a flow which another service holds was misrouted.
-struct SharedView {
+struct SharedState {
   struct Holder {
     std::string Service;
     chicory::Address At;
@@ -46,7 +46,7 @@
 public:
   BackendTarget(std::string service, chicory::FileDescriptor socket,
                 chicory::Address fabric, const BackendOptions &options,
-                SharedView &shared, uint64_t seed);
+                SharedState &shared, uint64_t seed);
 
   int fd() const { return Socket.get(); }
   chicory::Address address() const { return Self; }
@@ -58,21 +58,21 @@
   void tick(int64_t nowMs);
 
   // Switches.
-  void drain(bool on, int64_t nowMs);
-  void misleadReports(bool on) { Mislead = on; }
-  void shedAll(bool on) { ShedAll = on; }
-  void dead(bool on) { Dead = on; }
+  void setDraining(bool on, int64_t nowMs);
+  void setMisreportsLoad(bool on) { MisreportsLoad = on; }
+  void setShedAll(bool on) { ShedAll = on; }
+  void setStopped(bool on) { Stopped = on; }
   /// Forgets this share of its flows without a word, as a middlebox does.
-  void silence(double share);
+  void silenceFlows(double share);
   /// Drops packets whose sender is inside this net, or outside of it.
-  void cut(uint32_t ip, uint32_t mask, bool inside);
+  void setCut(uint32_t ip, uint32_t mask, bool inside);
 
   // What it counted.
   uint64_t executed() const { return Executed; }
   uint64_t sheds() const { return Sheds; }
   uint64_t flows() const { return Flows.size(); }
   /// When the last new flow or request came after the drain began; in ms.
-  int64_t lastNewAfterDrain() const { return LastNewAfterDrain; }
+  int64_t lastNewAfterDrainMs() const { return LastNewAfterDrainMs; }
 
 private:
   struct Feed {
@@ -91,29 +91,29 @@
   void onData(const chicory::Packet &packet);
   void onRequest(const chicory::Packet &packet, int64_t nowMs);
   void refuse(const chicory::Packet &request, chicory::Reason why);
-  void answer(const chicory::Packet &request);
+  void sendAnswer(const chicory::Packet &request);
   void send(const chicory::Packet &packet, chicory::Address to);
-  void noteNew(int64_t nowMs);
-  void checkService(const chicory::Packet &packet);
+  void recordNewWork(int64_t nowMs);
+  void countIfMisrouted(const chicory::Packet &packet);
 
   std::string Service;
   chicory::FileDescriptor Socket;
   chicory::Address Self;
   chicory::Address Fabric;
   const BackendOptions &Options;
-  SharedView &Shared;
+  SharedState &Shared;
   std::mt19937_64 Random;
   std::map<chicory::FlowKey, Feed> Flows;
   std::vector<Work> Running;
   bool Draining = false;
-  bool Mislead = false;
+  bool MisreportsLoad = false;
   bool ShedAll = false;
-  bool Dead = false;
+  bool Stopped = false;
   uint32_t CutIp = 0;
   uint32_t CutMask = 0;
   bool CutInside = true;
-  int64_t DrainBeganMs = 0;
-  int64_t LastNewAfterDrain = 0;
+  int64_t DrainStartMs = 0;
+  int64_t LastNewAfterDrainMs = 0;
   uint64_t Executed = 0;
   uint64_t Sheds = 0;
 };
--- a/standins/fabric/Callers.cpp
+++ b/standins/fabric/Callers.cpp
@@ -13,17 +13,17 @@
 
 constexpr uint32_t CallerNet = 0x0ac80000; // 10.200.0.0/16
 constexpr uint32_t CanaryIp = 0x0a090001;  // 10.9.0.1
-constexpr int OpenRepeatMs = 500;
-constexpr int OpenTries = 12;
-constexpr int FirstRepeatMs = 300;
-constexpr int SecondRepeatMs = 900;
-constexpr int ThirdRepeatMs = 1700;
+constexpr int OpenRetryMs = 500;
+constexpr int MaxOpenTries = 12;
+constexpr int FirstRetransmitMs = 300;
+constexpr int SecondRetransmitMs = 900;
+constexpr int ThirdRetransmitMs = 1700;
 constexpr int GiveUpAfterDeadlineMs = 1500;
 constexpr int CanaryIntervalMs = 10;
 constexpr int CanaryRunMs = 4000;
 constexpr qsizetype RequestBytes = 300;
 
-int64_t wallMs() {
+int64_t wallClockMs() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
@@ -37,7 +37,7 @@
   // Ids differ from run to run, so that nothing of an earlier run can match.
   NextRequest = (seed << 32) + 1;
   for (int i = 0; i < Options.Feeds; ++i) {
-    Feed feed{.Flow = freshFlow(Options.Services.front().At),
+    Feed feed{.Flow = newFlow(Options.Services.front().At),
               .NextMs = static_cast<int64_t>(
                   Random() % static_cast<uint64_t>(Options.RampMs))};
     FeedByFlow[feed.Flow] = Feeds.size();
@@ -45,7 +45,7 @@
   }
 }
 
-FlowKey Callers::freshFlow(Address to) {
+FlowKey Callers::newFlow(Address to) {
   uint32_t n = NextCaller++;
   return {.Source = {.Ip = CallerNet + n % 5000,
                      .Port = static_cast<uint16_t>(20000 + n / 5000)},
@@ -59,7 +59,7 @@
   const CalledService &service = Options.Services.front();
   if (feed.Broken)
     return;
-  if (feed.Open && nowMs - feed.LastHeardMs > Options.SilentMs) {
+  if (feed.Open && nowMs - feed.LastReceivedMs > Options.SilenceLimitMs) {
     feed.Broken = true;
     ++Stats.BrokenBySilence;
     return;
@@ -69,12 +69,12 @@
   Packet packet{.Kind = feed.Open ? PacketKind::Data : PacketKind::Open,
                 .Flow = feed.Flow,
                 .Payload = QByteArray::fromStdString(service.Name)};
-  if (!feed.Open && ++feed.Tries > OpenTries) {
+  if (!feed.Open && ++feed.Tries > MaxOpenTries) {
     feed.Broken = true;
     ++Stats.FlowsNeverOpened;
     return;
   }
-  feed.NextMs = nowMs + (feed.Open ? Options.PingMs : OpenRepeatMs);
+  feed.NextMs = nowMs + (feed.Open ? Options.PingMs : OpenRetryMs);
   send(packet);
 }
 
@@ -95,18 +95,18 @@
   bool onFeed =
       which == 0 && feed.Open && !feed.Broken && uniform(Random) < 0.5;
   Packet request{.Kind = PacketKind::Request,
-                 .Flow = onFeed ? feed.Flow : freshFlow(service.At),
+                 .Flow = onFeed ? feed.Flow : newFlow(service.At),
                  .Request = chicory::RequestId{NextRequest++},
                  .Idempotent = uniform(Random) < Options.IdempotentShare,
-                 .DeadlineMs = wallMs() + Options.DeadlineMs,
+                 .DeadlineMs = wallClockMs() + Options.DeadlineMs,
                  .Payload = QByteArray::fromStdString(service.Name + " ") +
                             QByteArray(RequestBytes, 'r')};
   PendingRequest pending{
       .Request = request,
       .SentMs = nowMs,
       .GiveUpMs = nowMs + Options.DeadlineMs + GiveUpAfterDeadlineMs,
-      .RepeatAtMs = {nowMs + ThirdRepeatMs, nowMs + SecondRepeatMs,
-                     nowMs + FirstRepeatMs}};
+      .RetransmitAtMs = {nowMs + ThirdRetransmitMs, nowMs + SecondRetransmitMs,
+                         nowMs + FirstRetransmitMs}};
   Pending.emplace(request.Request.Value, pending);
   ++Stats.Requests;
   send(request);
@@ -126,10 +126,10 @@
       it = Pending.erase(it);
       continue;
     }
-    bool repeat =
-        !pending.RepeatAtMs.empty() && pending.RepeatAtMs.back() <= nowMs;
-    if (repeat) {
-      pending.RepeatAtMs.pop_back();
+    bool retransmit = !pending.RetransmitAtMs.empty() &&
+                      pending.RetransmitAtMs.back() <= nowMs;
+    if (retransmit) {
+      pending.RetransmitAtMs.pop_back();
       send(pending.Request);
     }
     ++it;
@@ -138,7 +138,7 @@
 
 void Callers::startCanary(uint16_t port, int64_t nowMs) {
   Canaries[port] = {
-      .BeganMs = nowMs, .EndMs = nowMs + CanaryRunMs, .LastRefusedMs = nowMs};
+      .StartMs = nowMs, .EndMs = nowMs + CanaryRunMs, .LastRefusedMs = nowMs};
 }
 
 void Callers::tickCanaries(int64_t nowMs) {
@@ -148,12 +148,12 @@
   for (auto it = Canaries.begin(); it != Canaries.end();) {
     auto &[port, canary] = *it;
     if (nowMs >= canary.EndMs) {
-      Stats.RuleLagsMs.push_back(canary.LastRefusedMs - canary.BeganMs);
+      Stats.RuleLagsMs.push_back(canary.LastRefusedMs - canary.StartMs);
       it = Canaries.erase(it);
       continue;
     }
     send({.Kind = PacketKind::Open,
-          .Flow = freshFlow({.Ip = CanaryIp, .Port = port}),
+          .Flow = newFlow({.Ip = CanaryIp, .Port = port}),
           .Payload = QByteArray::fromStdString(Options.Services.back().Name)});
     ++it;
   }
@@ -200,7 +200,7 @@
       feed.Open = true;
       ++Stats.FlowsOpened;
     }
-    feed.LastHeardMs = nowMs;
+    feed.LastReceivedMs = nowMs;
   } else if (feed.Open) {
     feed.Broken = true;
     ++Stats.BrokenByReset;
@@ -213,7 +213,7 @@
     return;
   PendingRequest &pending = it->second;
   if (pending.Request.Flow != packet.Flow) {
-    ++Stats.Crossed;
+    ++Stats.OnWrongFlow;
     return;
   }
   if (packet.Kind == PacketKind::Refused) {
@@ -228,9 +228,9 @@
   pending.Parts.insert(packet.Part);
   if (packet.Last)
     pending.LastPart = packet.Part;
-  bool whole =
+  bool complete =
       pending.LastPart && pending.Parts.size() == *pending.LastPart + 1;
-  if (!whole)
+  if (!complete)
     return;
   ++Stats.Answered;
   Stats.LatenciesMs.push_back(static_cast<int>(nowMs - pending.SentMs));
--- a/standins/fabric/Callers.h
+++ b/standins/fabric/Callers.h
@@ -33,7 +33,7 @@
   /// Within this time all feeds are opened.
   int RampMs = 3000;
   /// A feed that gets nothing for this long is broken.
-  int SilentMs = 6000;
+  int SilenceLimitMs = 6000;
   int PingMs = 2500;
   double IdempotentShare = 0.5;
 };
@@ -47,7 +47,7 @@
   uint64_t Requests = 0;
   uint64_t Answered = 0;
   uint64_t Lost = 0;
-  uint64_t Crossed = 0;
+  uint64_t OnWrongFlow = 0;
   std::map<std::string, uint64_t> NotRun;
   std::map<std::string, uint64_t> Unknown;
   std::vector<uint64_t> NotRunIds;
@@ -82,18 +82,18 @@
     bool Broken = false;
     int Tries = 0;
     int64_t NextMs = 0;
-    int64_t LastHeardMs = 0;
+    int64_t LastReceivedMs = 0;
   };
   struct PendingRequest {
     chicory::Packet Request;
     int64_t SentMs = 0;
     int64_t GiveUpMs = 0;
-    std::vector<int64_t> RepeatAtMs;
+    std::vector<int64_t> RetransmitAtMs;
     std::set<uint32_t> Parts;
     std::optional<uint32_t> LastPart;
   };
   struct Canary {
-    int64_t BeganMs = 0;
+    int64_t StartMs = 0;
     int64_t EndMs = 0;
     int64_t LastRefusedMs = 0;
   };
@@ -106,7 +106,7 @@
   void onFeedPacket(Feed &feed, const chicory::Packet &packet, int64_t nowMs);
   void onOutcome(const chicory::Packet &packet, int64_t nowMs);
   void send(const chicory::Packet &packet);
-  chicory::FlowKey freshFlow(chicory::Address to);
+  chicory::FlowKey newFlow(chicory::Address to);
 
   CallerOptions Options;
   std::mt19937_64 Random;
--- a/standins/fabric/Fabric.cpp
+++ b/standins/fabric/Fabric.cpp
@@ -7,9 +7,11 @@
 
 bool Fabric::isInstance(chicory::Address address) {
   for (const auto &[id, at] : Instances)
-    if (std::find(Seen.begin(), Seen.end(), at) == Seen.end())
-      Seen.push_back(at);
-  return std::find(Seen.begin(), Seen.end(), address) != Seen.end();
+    if (std::find(PastAddresses.begin(), PastAddresses.end(), at) ==
+        PastAddresses.end())
+      PastAddresses.push_back(at);
+  return std::find(PastAddresses.begin(), PastAddresses.end(), address) !=
+         PastAddresses.end();
 }
 
 bool Fabric::chance(double probability) {
@@ -35,7 +37,7 @@
   if (!chance(Faults.Delay))
     return sendNow(datagram);
   int64_t delay = 1 + static_cast<int64_t>(
-                          Random() % static_cast<uint64_t>(Faults.DelayMsMost));
+                          Random() % static_cast<uint64_t>(Faults.DelayMsMax));
   Delayed.emplace(nowMs + delay, datagram);
 }
 
--- a/standins/fabric/Fabric.h
+++ b/standins/fabric/Fabric.h
@@ -18,7 +18,7 @@
   double Duplicate = 0.005;
   double Delay = 0.01;
   double Drop = 0;
-  int DelayMsMost = 30;
+  int DelayMsMax = 30;
 };
 
 /// Sprays packets over the instances.
@@ -47,7 +47,7 @@
   chicory::FileDescriptor Socket;
   std::mt19937_64 Random;
   std::map<uint32_t, chicory::Address> Instances;
-  std::vector<chicory::Address> Seen;
+  std::vector<chicory::Address> PastAddresses;
   std::multimap<int64_t, QByteArray> Delayed;
 };
 
--- a/standins/fabric/Main.cpp
+++ b/standins/fabric/Main.cpp
@@ -29,7 +29,7 @@
 
 constexpr int TickMs = 2;
 constexpr size_t MaxDatagram = 2048;
-constexpr int MaxReadsPerTurn = 512;
+constexpr int MaxReadsPerPoll = 512;
 
 int64_t nowMs() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -56,52 +56,53 @@
 public:
   FabricServer(chicory::FileDescriptor socket, standin::CallerOptions options,
                uint64_t seed)
-      : Net(std::move(socket), seed),
-        People(std::move(options), seed,
-               [this](const QByteArray &it) { Net.spray(it, nowMs()); }) {}
+      : Network(std::move(socket), seed),
+        AllCallers(std::move(options), seed, [this](const QByteArray &it) {
+          Network.spray(it, nowMs());
+        }) {}
 
   void loop();
   void serve(httplib::Server &server);
 
 private:
   void receive();
-  bool command(const httplib::Request &request);
+  bool runCommand(const httplib::Request &request);
   QJsonObject stats() const;
 
   std::mutex Lock;
-  standin::Fabric Net;
-  standin::Callers People;
+  standin::Fabric Network;
+  standin::Callers AllCallers;
 };
 
 void FabricServer::receive() {
-  for (int n = 0; n < MaxReadsPerTurn; ++n) {
+  for (int n = 0; n < MaxReadsPerPoll; ++n) {
     QByteArray buf(MaxDatagram, '\0');
     sockaddr_in raw{};
     socklen_t size = sizeof(raw);
-    ssize_t got = ::recvfrom(Net.fd(), buf.data(), MaxDatagram, 0,
+    ssize_t got = ::recvfrom(Network.fd(), buf.data(), MaxDatagram, 0,
                              reinterpret_cast<sockaddr *>(&raw), &size);
     if (got < 0)
       return;
     buf.truncate(got);
-    if (Net.isInstance(chicory::fromSockaddr(raw)))
-      People.receive(buf, nowMs());
+    if (Network.isInstance(chicory::fromSockaddr(raw)))
+      AllCallers.receive(buf, nowMs());
     else
-      Net.spray(buf, nowMs());
+      Network.spray(buf, nowMs());
   }
 }
 
 void FabricServer::loop() {
-  pollfd waiting{.fd = Net.fd(), .events = POLLIN};
+  pollfd waiting{.fd = Network.fd(), .events = POLLIN};
   for (;;) {
     ::poll(&waiting, 1, TickMs);
     std::lock_guard lock(Lock);
     receive();
-    Net.tick(nowMs());
-    People.tick(nowMs());
+    Network.tick(nowMs());
+    AllCallers.tick(nowMs());
   }
 }
 
-bool FabricServer::command(const httplib::Request &request) {
+bool FabricServer::runCommand(const httplib::Request &request) {
   std::string verb = request.get_param_value("do");
   auto id =
       static_cast<uint32_t>(std::atoi(request.get_param_value("id").c_str()));
@@ -112,19 +113,19 @@
     auto at = chicory::parseAddress(request.get_param_value("at"));
     if (!at)
       return false;
-    Net.addInstance(id, *at);
+    Network.addInstance(id, *at);
   } else if (verb == "remove") {
-    Net.removeInstance(id);
+    Network.removeInstance(id);
   } else if (verb == "start" || verb == "stop") {
-    People.setRunning(verb == "start");
+    AllCallers.setRunning(verb == "start");
   } else if (verb == "canary") {
-    People.startCanary(static_cast<uint16_t>(share("port")), nowMs());
+    AllCallers.startCanary(static_cast<uint16_t>(share("port")), nowMs());
   } else if (verb == "rate") {
-    People.setRequestRate(share("value"));
+    AllCallers.setRequestRate(share("value"));
   } else if (verb == "faults") {
-    Net.Faults.Drop = share("drop");
-    Net.Faults.Duplicate = share("duplicate");
-    Net.Faults.Delay = share("delay");
+    Network.Faults.Drop = share("drop");
+    Network.Faults.Duplicate = share("duplicate");
+    Network.Faults.Delay = share("delay");
   } else {
     return false;
   }
@@ -132,7 +133,7 @@
 }
 
 QJsonObject FabricServer::stats() const {
-  const standin::CallerStats &it = People.stats();
+  const standin::CallerStats &it = AllCallers.stats();
   return {{"flows", static_cast<qint64>(it.FlowsOpened)},
           {"never_opened", static_cast<qint64>(it.FlowsNeverOpened)},
           {"broken_by_reset", static_cast<qint64>(it.BrokenByReset)},
@@ -140,8 +141,8 @@
           {"requests", static_cast<qint64>(it.Requests)},
           {"answered", static_cast<qint64>(it.Answered)},
           {"lost", static_cast<qint64>(it.Lost)},
-          {"crossed", static_cast<qint64>(it.Crossed)},
-          {"in_progress", static_cast<qint64>(People.requestsInProgress())},
+          {"crossed", static_cast<qint64>(it.OnWrongFlow)},
+          {"in_progress", static_cast<qint64>(AllCallers.requestsInProgress())},
           {"not_run", reasonsJson(it.NotRun)},
           {"unknown", reasonsJson(it.Unknown)},
           {"latency_p50_ms", percentile(it.LatenciesMs, 0.5)},
@@ -154,7 +155,7 @@
   server.Post("/control", [this](const httplib::Request &request,
                                  httplib::Response &response) {
     std::lock_guard lock(Lock);
-    if (!command(request))
+    if (!runCommand(request))
       response.status = 400;
     response.set_content("{}", "application/json");
   });
@@ -168,9 +169,9 @@
                             httplib::Response &response) {
     std::lock_guard lock(Lock);
     std::string out;
-    for (uint64_t it : People.stats().NotRunIds)
+    for (uint64_t it : AllCallers.stats().NotRunIds)
       out += "not_run " + std::to_string(it) + '\n';
-    for (uint64_t it : People.stats().UnknownIds)
+    for (uint64_t it : AllCallers.stats().UnknownIds)
       out += "unknown " + std::to_string(it) + '\n';
     response.set_content(out, "text/plain");
   });
