--- a/standins/platform/Main.cpp
+++ b/standins/platform/Main.cpp
@@ -25,7 +25,7 @@
 
 constexpr int StatusTooManyRequests = 429;
 constexpr int StatusUnavailable = 503;
-constexpr int LostAnswerMs = 6000;
+constexpr int LostResponseDelayMs = 6000;
 constexpr int WatchWaitMs = 500;
 constexpr size_t MaxValueBytes = 1 << 20;
 
@@ -35,15 +35,15 @@
       .count();
 }
 
-std::string decoded(const QJsonValue &value) {
+std::string decodeBase64(const QJsonValue &value) {
   return QByteArray::fromBase64(value.toString().toLatin1()).toStdString();
 }
 
-QString encoded(const std::string &text) {
+QString encodeBase64(const std::string &text) {
   return QString::fromLatin1(QByteArray::fromStdString(text).toBase64());
 }
 
-int64_t number(const QJsonValue &value) {
+int64_t parseNumber(const QJsonValue &value) {
   return value.isString() ? value.toString().toLongLong() : value.toInteger();
 }
 
@@ -52,30 +52,30 @@
 public:
   explicit RateLimit(int64_t perSecond) : PerSecond(perSecond) {}
 
-  bool take() {
+  bool tryTake() {
     std::lock_guard lock(Lock);
     int64_t second = nowMs() / 1000;
     if (second != Second) {
       Second = second;
-      Taken = 0;
+      TakenInSecond = 0;
     }
-    return ++Taken <= PerSecond;
+    return ++TakenInSecond <= PerSecond;
   }
 
 private:
   std::mutex Lock;
   int64_t PerSecond;
   int64_t Second = 0;
-  int64_t Taken = 0;
+  int64_t TakenInSecond = 0;
 };
 
 struct Faults {
   std::mutex Lock;
   bool Down = false;
   int SlowMs = 0;
-  bool LoseAnswers = false;
+  bool LoseResponses = false;
   /// Callers whose IP begins with this are cut off.
-  std::string Cut;
+  std::string CutIpPrefix;
 };
 
 class PlatformServer {
@@ -88,16 +88,16 @@
 private:
   using Handler = std::function<QJsonObject(const QJsonObject &)>;
 
-  bool unreachable(const httplib::Request &request);
+  bool isUnreachable(const httplib::Request &request);
   void route(const char *path, bool writes, const Handler &handler);
   void addKeyValueRoutes();
   void addWatchRoute();
   void addControlRoutes();
-  void background();
+  void runBackground();
 
   httplib::Server Server;
   Store Data;
-  Faults Broken;
+  Faults ActiveFaults;
   RateLimit Writes;
   RateLimit Reads;
   int LagMs;
@@ -107,11 +107,11 @@
   std::atomic<int64_t> Calls = 0;
 };
 
-bool PlatformServer::unreachable(const httplib::Request &request) {
-  std::lock_guard lock(Broken.Lock);
-  bool cut =
-      !Broken.Cut.empty() && request.remote_addr.rfind(Broken.Cut, 0) == 0;
-  return Broken.Down || cut;
+bool PlatformServer::isUnreachable(const httplib::Request &request) {
+  std::lock_guard lock(ActiveFaults.Lock);
+  bool cut = !ActiveFaults.CutIpPrefix.empty() &&
+             request.remote_addr.rfind(ActiveFaults.CutIpPrefix, 0) == 0;
+  return ActiveFaults.Down || cut;
 }
 
 void PlatformServer::route(const char *path, bool writes,
@@ -119,38 +119,40 @@
   Server.Post(path, [this, writes, handler](const httplib::Request &request,
                                             httplib::Response &response) {
     ++Calls;
-    if (unreachable(request)) {
+    if (isUnreachable(request)) {
       response.status = StatusUnavailable;
       return;
     }
-    if (!(writes ? Writes : Reads).take()) {
+    if (!(writes ? Writes : Reads).tryTake()) {
       response.status = StatusTooManyRequests;
       return;
     }
     int slowMs = 0;
-    bool lose = false;
+    bool loseResponse = false;
     {
-      std::lock_guard lock(Broken.Lock);
-      slowMs = Broken.SlowMs;
-      lose = Broken.LoseAnswers && writes;
+      std::lock_guard lock(ActiveFaults.Lock);
+      slowMs = ActiveFaults.SlowMs;
+      loseResponse = ActiveFaults.LoseResponses && writes;
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(slowMs));
     QJsonObject body =
         QJsonDocument::fromJson(QByteArray::fromStdString(request.body))
             .object();
-    QJsonObject answer = handler(body);
-    if (lose) // It has taken effect; the caller's time-out comes first.
-      std::this_thread::sleep_for(std::chrono::milliseconds(LostAnswerMs));
-    response.set_content(
-        QJsonDocument(answer).toJson(QJsonDocument::Compact).toStdString(),
-        "application/json");
+    QJsonObject responseBody = handler(body);
+    if (loseResponse) // It has taken effect; the caller's time-out comes first.
+      std::this_thread::sleep_for(
+          std::chrono::milliseconds(LostResponseDelayMs));
+    response.set_content(QJsonDocument(responseBody)
+                             .toJson(QJsonDocument::Compact)
+                             .toStdString(),
+                         "application/json");
   });
 }
 
 QJsonObject keyValueJson(const std::string &key,
                          const standin::StoredValue &value) {
-  return {{"key", encoded(key)},
-          {"value", encoded(value.Value)},
+  return {{"key", encodeBase64(key)},
+          {"value", encodeBase64(value.Value)},
           {"mod_revision", QString::number(value.ModRevision)}};
 }
 
@@ -158,19 +160,20 @@
   route("/v3/kv/range", false, [this](const QJsonObject &body) {
     QJsonArray list;
     for (const auto &[key, value] :
-         Data.range(decoded(body["key"]), decoded(body["range_end"])))
+         Data.range(decodeBase64(body["key"]), decodeBase64(body["range_end"])))
       list.append(keyValueJson(key, value));
     return QJsonObject{{"kvs", list}};
   });
   route("/v3/kv/put", true, [this](const QJsonObject &body) {
-    std::string value = decoded(body["value"]);
+    std::string value = decodeBase64(body["value"]);
     if (value.size() > MaxValueBytes)
       return QJsonObject{{"error", "value too large"}};
-    Data.put(decoded(body["key"]), value, number(body["lease"]));
+    Data.put(decodeBase64(body["key"]), value, parseNumber(body["lease"]));
     return QJsonObject{{"header", QJsonObject()}};
   });
   route("/v3/kv/deleterange", true, [this](const QJsonObject &body) {
-    int64_t n = Data.remove(decoded(body["key"]), decoded(body["range_end"]));
+    int64_t n =
+        Data.remove(decodeBase64(body["key"]), decodeBase64(body["range_end"]));
     return QJsonObject{{"deleted", QString::number(n)}};
   });
   route("/v3/kv/txn", true, [this](const QJsonObject &body) {
@@ -179,20 +182,21 @@
     const QJsonArray success = body["success"].toArray();
     for (const auto &it : success) {
       QJsonObject put = it.toObject()["request_put"].toObject();
-      writes.emplace_back(decoded(put["key"]), decoded(put["value"]));
+      writes.emplace_back(decodeBase64(put["key"]), decodeBase64(put["value"]));
     }
-    bool done = Data.swap(decoded(compare["key"]),
-                          number(compare["mod_revision"]), writes);
+    bool done =
+        Data.compareAndSwap(decodeBase64(compare["key"]),
+                            parseNumber(compare["mod_revision"]), writes);
     return QJsonObject{{"succeeded", done}};
   });
   route("/v3/lease/grant", true, [this](const QJsonObject &body) {
-    int64_t id = Data.grantLease(number(body["TTL"]), nowMs());
+    int64_t id = Data.grantLease(parseNumber(body["TTL"]), nowMs());
     return QJsonObject{{"ID", QString::number(id)}, {"TTL", body["TTL"]}};
   });
   route("/v3/lease/keepalive", true, [this](const QJsonObject &body) {
-    bool kept = Data.keepLease(number(body["ID"]), nowMs());
-    return QJsonObject{
-        {"result", QJsonObject{{"ID", body["ID"]}, {"TTL", kept ? "1" : "0"}}}};
+    bool renewed = Data.renewLease(parseNumber(body["ID"]), nowMs());
+    return QJsonObject{{"result", QJsonObject{{"ID", body["ID"]},
+                                              {"TTL", renewed ? "1" : "0"}}}};
   });
 }
 
@@ -200,25 +204,27 @@
   Server.Post("/v3/watch", [this](const httplib::Request &request,
                                   httplib::Response &response) {
     ++Calls;
-    if (unreachable(request) || !Reads.take()) {
+    if (isUnreachable(request) || !Reads.tryTake()) {
       response.status = StatusUnavailable;
       return;
     }
-    QJsonObject create =
+    QJsonObject createRequest =
         QJsonDocument::fromJson(QByteArray::fromStdString(request.body))
             .object()["create_request"]
             .toObject();
-    std::string from = decoded(create["key"]);
-    std::string end = decoded(create["range_end"]);
-    auto seen = std::make_shared<int64_t>(Data.revision());
-    int64_t restores = Data.restores();
-    auto provider = [this, request, from, end, seen,
-                     restores](size_t, httplib::DataSink &sink) {
-      if (Stopping || unreachable(request) || Data.restores() != restores)
+    std::string from = decodeBase64(createRequest["key"]);
+    std::string end = decodeBase64(createRequest["range_end"]);
+    auto lastRevision = std::make_shared<int64_t>(Data.revision());
+    int64_t restoreCount = Data.restoreCount();
+    auto provider = [this, request, from, end, lastRevision,
+                     restoreCount](size_t, httplib::DataSink &sink) {
+      if (Stopping || isUnreachable(request) ||
+          Data.restoreCount() != restoreCount)
         return false;
       QJsonArray events;
-      for (const standin::Change &it : Data.changesAfter(*seen, WatchWaitMs)) {
-        *seen = it.Revision;
+      for (const standin::Change &it :
+           Data.changesAfter(*lastRevision, WatchWaitMs)) {
+        *lastRevision = it.Revision;
         if (it.Key >= from && it.Key < end && !it.Deleted)
           events.append(QJsonObject{{"kv", keyValueJson(it.Key, it.Value)}});
       }
@@ -235,11 +241,11 @@
 void PlatformServer::addControlRoutes() {
   Server.Post("/control/faults", [this](const httplib::Request &request,
                                         httplib::Response & /*response*/) {
-    std::lock_guard lock(Broken.Lock);
-    Broken.Down = request.get_param_value("down") == "1";
-    Broken.SlowMs = std::atoi(request.get_param_value("slow_ms").c_str());
-    Broken.LoseAnswers = request.get_param_value("lose_answers") == "1";
-    Broken.Cut = request.get_param_value("cut");
+    std::lock_guard lock(ActiveFaults.Lock);
+    ActiveFaults.Down = request.get_param_value("down") == "1";
+    ActiveFaults.SlowMs = std::atoi(request.get_param_value("slow_ms").c_str());
+    ActiveFaults.LoseResponses = request.get_param_value("lose_answers") == "1";
+    ActiveFaults.CutIpPrefix = request.get_param_value("cut");
   });
   Server.Post("/control/restore", [this](const httplib::Request &request,
                                          httplib::Response & /*response*/) {
@@ -259,12 +265,12 @@
   });
 }
 
-void PlatformServer::background() {
+void PlatformServer::runBackground() {
   const std::string prefix = "platform/instances/";
   while (!Stopping) {
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     Data.expireLeases(nowMs());
-    Data.keepCopy(nowMs());
+    Data.saveSnapshot(nowMs());
     std::optional<QJsonObject> due;
     {
       std::lock_guard lock(ListLock);
@@ -301,7 +307,7 @@
     return 1;
   std::printf("port=%d\n", bound);
   std::fflush(stdout);
-  std::thread worker([this] { background(); });
+  std::thread worker([this] { runBackground(); });
   Server.listen_after_bind();
   Stopping = true;
   worker.join();
--- a/standins/platform/Store.cpp
+++ b/standins/platform/Store.cpp
@@ -30,7 +30,7 @@
   ++Revision;
   Values[key] = {.Value = value, .ModRevision = Revision, .Lease = lease};
   Changes.push_back({.Revision = Revision, .Key = key, .Value = Values[key]});
-  if (Changes.size() > ChangesKept)
+  if (Changes.size() > MaxChanges)
     Changes.pop_front();
   Changed.notify_all();
   return Revision;
@@ -62,7 +62,7 @@
   return removeLocked(from, end);
 }
 
-bool Store::swap(
+bool Store::compareAndSwap(
     const std::string &key, int64_t expected,
     const std::vector<std::pair<std::string, std::string>> &writes) {
   std::lock_guard lock(Lock);
@@ -82,7 +82,7 @@
   return id;
 }
 
-bool Store::keepLease(int64_t id, int64_t nowMs) {
+bool Store::renewLease(int64_t id, int64_t nowMs) {
   std::lock_guard lock(Lock);
   auto it = Leases.find(id);
   if (it == Leases.end())
@@ -98,46 +98,47 @@
       ++it;
       continue;
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> expiredKeys;
     for (const auto &[key, value] : Values)
       if (value.Lease == it->first)
-        gone.push_back(key);
-    for (const std::string &key : gone)
+        expiredKeys.push_back(key);
+    for (const std::string &key : expiredKeys)
       removeLocked(key, "");
     it = Leases.erase(it);
   }
 }
 
-void Store::keepCopy(int64_t nowMs) {
+void Store::saveSnapshot(int64_t nowMs) {
   std::lock_guard lock(Lock);
-  if (!Copies.empty() && nowMs - Copies.back().TakenMs < CopyEveryMs)
+  if (!Snapshots.empty() &&
+      nowMs - Snapshots.back().TakenMs < SnapshotIntervalMs)
     return;
-  Copies.push_back({.TakenMs = nowMs,
-                    .Revision = Revision,
-                    .Values = Values,
-                    .Leases = Leases});
-  if (Copies.size() > CopiesKept)
-    Copies.pop_front();
+  Snapshots.push_back({.TakenMs = nowMs,
+                       .Revision = Revision,
+                       .Values = Values,
+                       .Leases = Leases});
+  if (Snapshots.size() > MaxSnapshots)
+    Snapshots.pop_front();
 }
 
 void Store::restore(int64_t nowMs, int64_t ageMs) {
   std::lock_guard lock(Lock);
-  while (Copies.size() > 1 && nowMs - Copies.back().TakenMs < ageMs)
-    Copies.pop_back();
-  if (Copies.empty())
+  while (Snapshots.size() > 1 && nowMs - Snapshots.back().TakenMs < ageMs)
+    Snapshots.pop_back();
+  if (Snapshots.empty())
     return;
-  Revision = Copies.back().Revision;
-  Values = Copies.back().Values;
-  Leases = Copies.back().Leases;
-  Copies.clear();
+  Revision = Snapshots.back().Revision;
+  Values = Snapshots.back().Values;
+  Leases = Snapshots.back().Leases;
+  Snapshots.clear();
   Changes.clear();
-  ++Restores;
+  ++RestoreCount;
   Changed.notify_all();
 }
 
-int64_t Store::restores() const {
+int64_t Store::restoreCount() const {
   std::lock_guard lock(Lock);
-  return Restores;
+  return RestoreCount;
 }
 
 int64_t Store::revision() const {
@@ -147,10 +148,10 @@
 
 std::vector<Change> Store::changesAfter(int64_t revision, int waitMs) {
   std::unique_lock lock(Lock);
-  auto fresh = [&] {
+  auto hasNewerChange = [&] {
     return !Changes.empty() && Changes.back().Revision > revision;
   };
-  Changed.wait_for(lock, std::chrono::milliseconds(waitMs), fresh);
+  Changed.wait_for(lock, std::chrono::milliseconds(waitMs), hasNewerChange);
   std::vector<Change> out;
   for (const Change &it : Changes)
     if (it.Revision > revision)
--- a/standins/wire/Main.cpp
+++ b/standins/wire/Main.cpp
@@ -28,9 +28,9 @@
 using chicory::Address;
 using chicory::FileDescriptor;
 
-constexpr int PollMs = 5;
+constexpr int PollTimeoutMs = 5;
 constexpr size_t BufferBytes = 65536;
-constexpr int MaxReadsPerTurn = 256;
+constexpr int MaxReadsPerPoll = 256;
 
 std::string errorJson() { return "{\"error\": \"bad address\"}"; }
 
@@ -42,14 +42,14 @@
 }
 
 /// One relayed TCP connection.
-struct Pair {
+struct Connection {
   FileDescriptor Client;
   FileDescriptor Server;
   uint32_t ClientIp = 0;
   uint32_t ServerIp = 0;
   std::string ToServer;
   std::string ToClient;
-  bool Dead = false;
+  bool Closed = false;
 };
 
 struct UdpRelay {
@@ -68,42 +68,42 @@
   void serve(httplib::Server &server);
 
 private:
-  bool cutBetween(uint32_t one, uint32_t other) const;
+  bool isCutBetween(uint32_t one, uint32_t other) const;
   void relayUdp(UdpRelay &relay);
   void acceptTcp(TcpRelay &relay);
-  void pump(Pair &pair);
-  bool move(const FileDescriptor &from, std::string &pending);
-  bool flush(const FileDescriptor &to, std::string &pending);
-  void closeSecond();
+  void relayTcp(Connection &connection);
+  bool receivePending(const FileDescriptor &from, std::string &pending);
+  bool sendPending(const FileDescriptor &to, std::string &pending);
+  void finishSecond();
 
   std::mutex Lock;
   std::list<UdpRelay> Udp;
   std::list<TcpRelay> Tcp;
-  std::list<Pair> Pairs;
-  std::string Cut;
-  std::map<uint32_t, uint64_t> BytesNow;
-  uint64_t MostInSecond = 0;
-  std::chrono::steady_clock::time_point SecondEnds;
+  std::list<Connection> Connections;
+  std::string CutIpPrefix;
+  std::map<uint32_t, uint64_t> BytesThisSecond;
+  uint64_t MaxBytesPerSecond = 0;
+  std::chrono::steady_clock::time_point SecondEnd;
 };
 
-bool Wire::cutBetween(uint32_t one, uint32_t other) const {
-  if (Cut.empty())
+bool Wire::isCutBetween(uint32_t one, uint32_t other) const {
+  if (CutIpPrefix.empty())
     return false;
-  bool first = chicory::formatIp(one).rfind(Cut, 0) == 0;
-  bool second = chicory::formatIp(other).rfind(Cut, 0) == 0;
+  bool first = chicory::formatIp(one).rfind(CutIpPrefix, 0) == 0;
+  bool second = chicory::formatIp(other).rfind(CutIpPrefix, 0) == 0;
   return first != second;
 }
 
 void Wire::relayUdp(UdpRelay &relay) {
   std::array<char, BufferBytes> buf;
-  for (int n = 0; n < MaxReadsPerTurn; ++n) {
+  for (int n = 0; n < MaxReadsPerPoll; ++n) {
     sockaddr_in from{};
     socklen_t size = sizeof(from);
     ssize_t got = ::recvfrom(relay.Socket.get(), buf.data(), buf.size(), 0,
                              reinterpret_cast<sockaddr *>(&from), &size);
     if (got < 0)
       return;
-    if (cutBetween(chicory::fromSockaddr(from).Ip, relay.To.Ip))
+    if (isCutBetween(chicory::fromSockaddr(from).Ip, relay.To.Ip))
       continue;
     sockaddr_in to = chicory::toSockaddr(relay.To);
     ::sendto(relay.Socket.get(), buf.data(), static_cast<size_t>(got), 0,
@@ -127,13 +127,13 @@
   if (refused)
     relay.Listener.reset();
   else
-    Pairs.push_back({.Client = std::move(client),
-                     .Server = std::move(*server),
-                     .ClientIp = ip,
-                     .ServerIp = relay.To.Ip});
+    Connections.push_back({.Client = std::move(client),
+                           .Server = std::move(*server),
+                           .ClientIp = ip,
+                           .ServerIp = relay.To.Ip});
 }
 
-bool Wire::move(const FileDescriptor &from, std::string &pending) {
+bool Wire::receivePending(const FileDescriptor &from, std::string &pending) {
   std::array<char, BufferBytes> buf;
   ssize_t got = ::recv(from.get(), buf.data(), buf.size(), 0);
   if (got > 0)
@@ -141,7 +141,7 @@
   return got > 0 || (got < 0 && (errno == EAGAIN || errno == ENOTCONN));
 }
 
-bool Wire::flush(const FileDescriptor &to, std::string &pending) {
+bool Wire::sendPending(const FileDescriptor &to, std::string &pending) {
   if (pending.empty())
     return true;
   ssize_t sent = ::send(to.get(), pending.data(), pending.size(), MSG_NOSIGNAL);
@@ -150,27 +150,27 @@
   return sent > 0 || (sent < 0 && (errno == EAGAIN || errno == ENOTCONN));
 }
 
-void Wire::pump(Pair &pair) {
+void Wire::relayTcp(Connection &connection) {
   // A cut drops nothing of a TCP stream: it holds it up until it is healed.
-  if (cutBetween(pair.ClientIp, pair.ServerIp))
+  if (isCutBetween(connection.ClientIp, connection.ServerIp))
     return;
-  size_t before = pair.ToServer.size();
-  bool ok = move(pair.Client, pair.ToServer);
-  BytesNow[pair.ClientIp] += pair.ToServer.size() - before;
-  ok = move(pair.Server, pair.ToClient) && ok;
-  ok = flush(pair.Server, pair.ToServer) && ok;
-  ok = flush(pair.Client, pair.ToClient) && ok;
-  pair.Dead = !ok;
+  size_t before = connection.ToServer.size();
+  bool ok = receivePending(connection.Client, connection.ToServer);
+  BytesThisSecond[connection.ClientIp] += connection.ToServer.size() - before;
+  ok = receivePending(connection.Server, connection.ToClient) && ok;
+  ok = sendPending(connection.Server, connection.ToServer) && ok;
+  ok = sendPending(connection.Client, connection.ToClient) && ok;
+  connection.Closed = !ok;
 }
 
-void Wire::closeSecond() {
+void Wire::finishSecond() {
   auto now = std::chrono::steady_clock::now();
-  if (now < SecondEnds)
+  if (now < SecondEnd)
     return;
-  SecondEnds = now + std::chrono::seconds(1);
-  for (auto &[ip, bytes] : BytesNow)
-    MostInSecond = std::max(MostInSecond, bytes);
-  BytesNow.clear();
+  SecondEnd = now + std::chrono::seconds(1);
+  for (auto &[ip, bytes] : BytesThisSecond)
+    MaxBytesPerSecond = std::max(MaxBytesPerSecond, bytes);
+  BytesThisSecond.clear();
 }
 
 void Wire::loop() {
@@ -184,17 +184,17 @@
         // poll passes over the negative descriptor of a closed relay.
         fds.push_back({.fd = it.Listener.get(), .events = POLLIN});
     }
-    ::poll(fds.data(), fds.size(), PollMs);
+    ::poll(fds.data(), fds.size(), PollTimeoutMs);
     std::lock_guard lock(Lock);
     for (UdpRelay &it : Udp)
       relayUdp(it);
     for (TcpRelay &it : Tcp)
       if (it.Listener.valid())
         acceptTcp(it);
-    for (Pair &it : Pairs)
-      pump(it);
-    Pairs.remove_if([](const Pair &it) { return it.Dead; });
-    closeSecond();
+    for (Connection &it : Connections)
+      relayTcp(it);
+    Connections.remove_if([](const Connection &it) { return it.Closed; });
+    finishSecond();
   }
 }
 
@@ -222,14 +222,14 @@
   server.Post("/cut", [this](const httplib::Request &request,
                              httplib::Response &response) {
     std::lock_guard lock(Lock);
-    Cut = request.get_param_value("net");
+    CutIpPrefix = request.get_param_value("net");
     response.set_content("{}", "application/json");
   });
   server.Get("/stats", [this](const httplib::Request & /*request*/,
                               httplib::Response &response) {
     std::lock_guard lock(Lock);
     response.set_content(
-        "{\"bytes_per_s_max\": " + std::to_string(MostInSecond) + "}",
+        "{\"bytes_per_s_max\": " + std::to_string(MaxBytesPerSecond) + "}",
         "application/json");
   });
 }
