--- a/standins/backend/Main.cpp
+++ b/standins/backend/Main.cpp
@@ -1,10 +1,11 @@
-// standin-backend: stands in for all backend servers of a deployment.
+// standin-backend: simulates all backend servers of a deployment.
 //
 //   standin-backend --fabric 127.0.0.1:9 --service
 //   records=127.0.1.101,127.0.2.101
 //
-// Each IP gets one backend server on a free port. It prints a line
-// "target=SERVICE IP:PORT" for each, then "port=N" for its control side:
+// Starts one backend server on a free port of each IP. Prints a line
+// "target=SERVICE IP:PORT" for each, then "port=N", the port of its HTTP
+// control interface:
 //   POST /control?target=IP:PORT&do=drain|undrain|shed|unshed|die|live|
 //        mislead|honest|silence|cut:IP/BITS|cutoutside:IP/BITS|uncut
 //   GET  /stats, /runs
@@ -181,17 +182,21 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Stands in for the backend servers of a deployment.");
+  CLI::App app("Simulates the backend servers of a deployment.");
   std::string fabricText;
   std::vector<std::string> services;
   uint64_t seed = 1;
   Backends backends;
-  app.add_option("--fabric", fabricText, "Where answers go")->required();
+  app.add_option("--fabric", fabricText, "Address that answers are sent to")
+      ->required();
   app.add_option("--service", services, "NAME=IP,IP,...")->required();
-  app.add_option("--seed", seed, "For work times");
-  app.add_option("--slots", backends.Options.Slots, "Requests at a time");
-  app.add_option("--work-ms-least", backends.Options.WorkMsMin, "");
-  app.add_option("--work-ms-most", backends.Options.WorkMsMax, "");
+  app.add_option("--seed", seed, "Seed of the random numbers");
+  app.add_option("--slots", backends.Options.Slots,
+                 "Requests that one backend server runs at a time");
+  app.add_option("--work-ms-least", backends.Options.WorkMsMin,
+                 "Minimum run time of a request");
+  app.add_option("--work-ms-most", backends.Options.WorkMsMax,
+                 "Maximum run time of a request");
   CLI11_PARSE(app, argc, argv);
   auto fabric = chicory::parseAddress(fabricText);
   if (!fabric)
--- a/standins/backend/Target.cpp
+++ b/standins/backend/Target.cpp
@@ -96,7 +96,7 @@
 }
 
 void BackendTarget::countIfMisrouted(const Packet &packet) {
-  // Callers write the name of the service that they mean into each payload.
+  // Each payload of a caller starts with the name of the intended service.
   if (!packet.Payload.startsWith(QByteArray::fromStdString(Service)))
     ++Shared.Misrouted;
 }
@@ -165,7 +165,8 @@
     return refuse(packet, Reason::TargetShed);
   if (packet.DeadlineMs < wallMs())
     return refuse(packet, Reason::TargetDeadline);
-  // It runs from here on: this is what "run at most once" counts.
+  // The request counts as run from here on. The check that a request that is
+  // not idempotent runs at most once uses this count.
   ++Shared.Runs[packet.Request.Value];
   if (!packet.Idempotent)
     Shared.NotIdempotent.insert(packet.Request.Value);
@@ -178,7 +179,7 @@
   std::vector<uint32_t> parts;
   for (uint32_t i = 0; i < Options.AnswerParts; ++i)
     parts.push_back(i);
-  // Parts go out in any order: the caller has to put them together.
+  // Sends the parts in random order to test the reassembly at the caller.
   std::shuffle(parts.begin(), parts.end(), Random);
   for (uint32_t it : parts)
     send({.Kind = PacketKind::Answer,
--- a/standins/backend/Target.h
+++ b/standins/backend/Target.h
@@ -1,4 +1,4 @@
-// One backend server of the stand-in: its flows, its slots, its faults.
+// A simulated backend server with flows, request slots and injected faults.
 
 #ifndef CHICORYBANK_STANDINS_BACKEND_TARGET_H
 #define CHICORYBANK_STANDINS_BACKEND_TARGET_H
@@ -15,7 +15,7 @@
 
 namespace standin {
 
-/// Bounds and times of all backend servers.
+/// Limits and durations that apply to each backend server.
 struct BackendOptions {
   uint32_t Slots = 2;
   uint32_t Connections = 2000;
@@ -25,23 +25,23 @@
   uint32_t AnswerParts = 3;
 };
 
-/// What all backend servers of a process see together. A packet that one of
-/// them gets for a flow which another service holds was misrouted.
+/// State shared by all backend servers of the process. A data packet counts as
+/// misrouted if its flow belongs to a backend server of another service.
 struct SharedState {
   struct Holder {
     std::string Service;
     chicory::Address At;
   };
   std::map<chicory::FlowKey, Holder> Flows;
-  /// How often each request was run, by its id (unique in a run).
+  /// Number of runs of each request, by its id (unique in a test run).
   std::unordered_map<uint64_t, uint32_t> Runs;
   std::set<uint64_t> NotIdempotent;
   uint64_t Misrouted = 0;
   uint64_t LateStarts = 0;
 };
 
-/// One backend server. Times are milliseconds of a steady clock; deadlines are
-/// of the wall clock.
+/// One backend server. Times are milliseconds of a steady clock; deadlines of
+/// requests are milliseconds of the wall clock.
 class BackendTarget {
 public:
   BackendTarget(std::string service, chicory::FileDescriptor socket,
@@ -52,26 +52,28 @@
   chicory::Address address() const { return Self; }
   const std::string &service() const { return Service; }
 
-  /// Reads and handles what the socket has.
+  /// Reads and handles the datagrams that wait at the socket.
   void receive(int64_t nowMs);
-  /// Ends work that is done and sends feeds.
+  /// Answers requests whose run time is over, and sends feed data that is due.
   void tick(int64_t nowMs);
 
-  // Switches.
+  // Faults and operating modes.
   void setDraining(bool on, int64_t nowMs);
   void setMisreportsLoad(bool on) { MisreportsLoad = on; }
   void setShedAll(bool on) { ShedAll = on; }
   void setStopped(bool on) { Stopped = on; }
-  /// Forgets this share of its flows without a word, as a middlebox does.
+  /// Stops sending on this share of its flows without a reset, as if a
+  /// middlebox had dropped their state.
   void silenceFlows(double share);
-  /// Drops packets whose sender is inside this net, or outside of it.
+  /// Drops packets from senders inside this network (`inside`) or outside of
+  /// it. A mask of 0 drops none.
   void setCut(uint32_t ip, uint32_t mask, bool inside);
 
-  // What it counted.
+  // Counters.
   uint64_t executed() const { return Executed; }
   uint64_t sheds() const { return Sheds; }
   uint64_t flows() const { return Flows.size(); }
-  /// When the last new flow or request came after the drain began; in ms.
+  /// Time from the start of the drain to the last new flow or request, in ms.
   int64_t lastNewAfterDrainMs() const { return LastNewAfterDrainMs; }
 
 private:
--- a/standins/fabric/Callers.cpp
+++ b/standins/fabric/Callers.cpp
@@ -34,7 +34,8 @@
 Callers::Callers(CallerOptions options, uint64_t seed,
                  std::function<void(const QByteArray &)> send)
     : Options(std::move(options)), Random(seed), Send(std::move(send)) {
-  // Ids differ from run to run, so that nothing of an earlier run can match.
+  // Ids depend on the seed, so that a late answer to an earlier run matches no
+  // request.
   NextRequest = (seed << 32) + 1;
   for (int i = 0; i < Options.Feeds; ++i) {
     Feed feed{.Flow = newFlow(Options.Services.front().At),
@@ -90,7 +91,8 @@
   size_t which = pickService();
   const CalledService &service = Options.Services[which];
   std::uniform_real_distribution<double> uniform(0, 1);
-  // Half of the requests to the feeds' service ride on an open feed.
+  // Sends half of the requests to the first service over the flow of an open
+  // feed.
   const Feed &feed = Feeds.empty() ? Feed{} : Feeds[Random() % Feeds.size()];
   bool onFeed =
       which == 0 && feed.Open && !feed.Broken && uniform(Random) < 0.5;
--- a/standins/fabric/Callers.h
+++ b/standins/fabric/Callers.h
@@ -1,5 +1,5 @@
-// Callers: feeds that stay open, requests that want one outcome each, and
-// canaries that tell when a rule is in force.
+// Simulated callers: long-lived feeds, requests that expect exactly one outcome
+// each, and canary flows that measure when a rule takes effect.
 
 #ifndef CHICORYBANK_STANDINS_FABRIC_CALLERS_H
 #define CHICORYBANK_STANDINS_FABRIC_CALLERS_H
@@ -15,30 +15,30 @@
 
 namespace standin {
 
-/// A service as callers know it.
+/// A service that callers use.
 struct CalledService {
   std::string Name;
   chicory::Address At;
-  /// Its share of the requests, against the others'.
+  /// Share of the requests, relative to the weights of the other services.
   double Weight = 1;
 };
 
-/// What callers do.
+/// The load that callers generate.
 struct CallerOptions {
-  /// The first has the feeds; requests go to all.
+  /// Feeds go to the first service, requests to all.
   std::vector<CalledService> Services;
   int Feeds = 1000;
   double RequestsPerSecond = 200;
   int DeadlineMs = 2000;
-  /// Within this time all feeds are opened.
+  /// Period over which the openings of the feeds are spread.
   int RampMs = 3000;
-  /// A feed that gets nothing for this long is broken.
+  /// A feed that receives nothing for longer than this counts as broken.
   int SilenceLimitMs = 6000;
   int PingMs = 2500;
   double IdempotentShare = 0.5;
 };
 
-/// What callers saw.
+/// Counts and times observed by callers.
 struct CallerStats {
   uint64_t FlowsOpened = 0;
   uint64_t FlowsNeverOpened = 0;
@@ -62,12 +62,13 @@
   Callers(CallerOptions options, uint64_t seed,
           std::function<void(const QByteArray &)> send);
 
-  /// A packet for some caller came out of the fabric.
+  /// Handles a packet that an instance sent to a caller.
   void receive(const QByteArray &datagram, int64_t nowMs);
   void tick(int64_t nowMs);
-  /// A rule for this port was accepted: find out when it is in force.
+  /// Measures how long after its acceptance a rule for this port takes effect.
   void startCanary(uint16_t port, int64_t nowMs);
-  /// Starts or ends feeds and requests; ending a run leaves none in progress.
+  /// Starts or stops feeds and new requests. Requests in progress still end
+  /// with an outcome or time out.
   void setRunning(bool on) { Running = on; }
   void setRequestRate(double perSecond) {
     Options.RequestsPerSecond = perSecond;
--- a/standins/fabric/Fabric.h
+++ b/standins/fabric/Fabric.h
@@ -1,5 +1,5 @@
-// The fabric of the stand-in: any packet may go to any instance, some twice,
-// some late, some not at all.
+// A simulated network fabric: sends each packet to a random instance, and
+// duplicates, delays or drops some.
 
 #ifndef CHICORYBANK_STANDINS_FABRIC_FABRIC_H
 #define CHICORYBANK_STANDINS_FABRIC_FABRIC_H
@@ -13,7 +13,7 @@
 
 namespace standin {
 
-/// The chances of a fault, for each packet.
+/// Probability of each fault per packet, and the maximum delay.
 struct FabricFaults {
   double Duplicate = 0.005;
   double Delay = 0.01;
@@ -32,12 +32,12 @@
 
   void addInstance(uint32_t id, chicory::Address at) { Instances[id] = at; }
   void removeInstance(uint32_t id) { Instances.erase(id); }
-  /// True for an address that has ever been an instance's.
+  /// Returns true if the address belongs or belonged to an instance.
   bool isInstance(chicory::Address address);
 
-  /// Sends a packet to some instance, with faults.
+  /// Sends a packet to a random instance, subject to the faults.
   void spray(const QByteArray &datagram, int64_t nowMs);
-  /// Sends what was held back.
+  /// Sends the delayed packets that are due.
   void tick(int64_t nowMs);
 
 private:
--- a/standins/fabric/Main.cpp
+++ b/standins/fabric/Main.cpp
@@ -1,10 +1,10 @@
-// standin-fabric: stands in for the fabric and for the callers.
+// standin-fabric: simulates the network fabric and the callers.
 //
 //   standin-fabric --ip 127.0.0.1 --service records=10.1.0.1:443@15
 //
-// Datagrams from instances are for callers; all others (from backend servers,
-// and the callers' own) are sprayed over the instances. It prints
-// "fabric=IP:PORT" and "port=N" for its control side:
+// Hands datagrams from instances to the callers, and sprays all others (from
+// backend servers and callers) over the instances. Prints "fabric=IP:PORT" and
+// "port=N", the port of its HTTP control interface:
 //   POST /control?do=add&id=N&at=IP:PORT | remove&id=N | start | stop |
 //        canary&port=N | rate&value=N | faults&drop=X&duplicate=X&delay=X
 //   GET  /stats, /ids
@@ -180,20 +180,23 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Stands in for the fabric and the callers.");
+  CLI::App app("Simulates the network fabric and the callers.");
   std::string ip = "127.0.0.1";
   std::vector<std::string> services;
   standin::CallerOptions options;
   uint64_t seed = 1;
-  app.add_option("--ip", ip, "Where to listen");
+  app.add_option("--ip", ip, "IP address to listen on");
   app.add_option("--service", services,
                  "NAME=IP:PORT@WEIGHT; the first has feeds")
       ->required();
-  app.add_option("--feeds", options.Feeds, "Flows that stay open");
-  app.add_option("--requests", options.RequestsPerSecond, "In a second");
-  app.add_option("--deadline-ms", options.DeadlineMs, "Of each request");
-  app.add_option("--idempotent", options.IdempotentShare, "Share of requests");
-  app.add_option("--seed", seed, "For all that is random");
+  app.add_option("--feeds", options.Feeds, "Number of long-lived flows");
+  app.add_option("--requests", options.RequestsPerSecond,
+                 "Requests per second");
+  app.add_option("--deadline-ms", options.DeadlineMs,
+                 "Deadline of each request");
+  app.add_option("--idempotent", options.IdempotentShare,
+                 "Share of requests that are idempotent");
+  app.add_option("--seed", seed, "Seed of the random numbers");
   CLI11_PARSE(app, argc, argv);
   for (const std::string &it : services) {
     size_t equals = it.find('=');
--- a/standins/platform/Main.cpp
+++ b/standins/platform/Main.cpp
@@ -1,11 +1,12 @@
-// standin-platform: stands in for the platform in tests and in the demo.
+// standin-platform: simulates the platform in tests and in the demo.
 //
-// It serves the JSON form of the etcd v3 API that `platform/KeyValue.h` names,
-// limits its rates as the platform does, and has switches for its faults:
+// Serves the calls of the etcd v3 JSON API that `platform/KeyValue.h` lists,
+// limits the rates of calls as the platform does, and injects faults on
+// request:
 //   POST /control/faults?down=1&slow_ms=N&lose_answers=1&cut=127.0.2.
-//   POST /control/restore?age_ms=N  comes back from a copy that is so old
-//   POST /control/instances   (the true list; readers see it after the lag)
-// It prints "port=N" when it is ready.
+//   POST /control/restore?age_ms=N  restores a snapshot of this age
+//   POST /control/instances   (the current list; readers see it after the lag)
+// Prints "port=N" when it is ready.
 
 #include "Store.h"
 
@@ -47,7 +48,7 @@
   return value.isString() ? value.toString().toLongLong() : value.toInteger();
 }
 
-/// At most so many calls in a second, in bursts of a second's worth.
+/// Limits the calls in each second; all of them may come in one burst.
 class RateLimit {
 public:
   explicit RateLimit(int64_t perSecond) : PerSecond(perSecond) {}
@@ -74,7 +75,7 @@
   bool Down = false;
   int SlowMs = 0;
   bool LoseResponses = false;
-  /// Callers whose IP begins with this are cut off.
+  /// Clients whose IP address starts with this are cut off; empty for none.
   std::string CutIpPrefix;
 };
 
@@ -139,7 +140,7 @@
         QJsonDocument::fromJson(QByteArray::fromStdString(request.body))
             .object();
     QJsonObject responseBody = handler(body);
-    if (loseResponse) // It has taken effect; the caller's time-out comes first.
+    if (loseResponse) // The write took effect, but the client times out first.
       std::this_thread::sleep_for(
           std::chrono::milliseconds(LostResponseDelayMs));
     response.set_content(QJsonDocument(responseBody)
@@ -228,7 +229,7 @@
         if (it.Key >= from && it.Key < end && !it.Deleted)
           events.append(QJsonObject{{"kv", keyValueJson(it.Key, it.Value)}});
       }
-      // A line without events shows that the connection lives.
+      // A line without events serves as a heartbeat of the connection.
       QJsonObject line{{"result", QJsonObject{{"events", events}}}};
       QByteArray bytes = QJsonDocument(line).toJson(QJsonDocument::Compact);
       bytes.append('\n');
@@ -317,17 +318,18 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Stands in for the platform's key-value service.");
+  CLI::App app("Simulates the platform's key-value service.");
   std::string ip = "127.0.0.1";
   int port = 0;
   int lagMs = 1000;
   int64_t writes = 300;
   int64_t reads = 2000;
-  app.add_option("--ip", ip, "Where to listen");
-  app.add_option("--port", port, "Zero takes a free one");
-  app.add_option("--list-lag-ms", lagMs, "How far the list of instances lags");
-  app.add_option("--writes", writes, "Writes taken in a second");
-  app.add_option("--reads", reads, "Reads taken in a second");
+  app.add_option("--ip", ip, "IP address to listen on");
+  app.add_option("--port", port, "Port to listen on; 0 picks a free one");
+  app.add_option("--list-lag-ms", lagMs,
+                 "Delay until readers see a new list of instances");
+  app.add_option("--writes", writes, "Maximum writes per second");
+  app.add_option("--reads", reads, "Maximum reads per second");
   CLI11_PARSE(app, argc, argv);
   return PlatformServer(writes, reads, lagMs).run(ip, port);
 }
--- a/standins/platform/Store.h
+++ b/standins/platform/Store.h
@@ -1,4 +1,5 @@
-// The platform stand-in's keys, leases and revisions, without any network.
+// Key-value store of the simulated platform, with leases and revisions and
+// without networking.
 
 #ifndef CHICORYBANK_STANDINS_PLATFORM_STORE_H
 #define CHICORYBANK_STANDINS_PLATFORM_STORE_H
@@ -21,7 +22,7 @@
   int64_t Lease = 0;
 };
 
-/// One change, for watches.
+/// One change of a key, as reported to watches.
 struct Change {
   int64_t Revision = 0;
   std::string Key;
@@ -29,7 +30,7 @@
   bool Deleted = false;
 };
 
-/// Keys with compare-and-swap, leases and a log of changes.
+/// Key-value store with compare-and-swap, leases and a change log.
 class Store {
 public:
   std::vector<std::pair<std::string, StoredValue>>
@@ -37,7 +38,7 @@
   int64_t put(const std::string &key, const std::string &value,
               int64_t lease = 0);
   int64_t remove(const std::string &from, const std::string &end);
-  /// Applies all writes if the key has this revision.
+  /// Applies all writes if the key has the expected revision (0: no such key).
   bool compareAndSwap(
       const std::string &key, int64_t expected,
       const std::vector<std::pair<std::string, std::string>> &writes);
@@ -45,15 +46,17 @@
   bool renewLease(int64_t id, int64_t nowMs);
   void expireLeases(int64_t nowMs);
   int64_t revision() const;
-  /// Changes after a revision; waits for one for at most `waitMs`.
+  /// Returns the changes after a revision; waits at most `waitMs` for one.
   std::vector<Change> changesAfter(int64_t revision, int waitMs);
 
-  /// Keeps a copy that `restore` can bring back; call it a few times a second.
+  /// Saves a snapshot for `restore`, at most one per `SnapshotIntervalMs`. Call
+  /// this several times a second.
   void saveSnapshot(int64_t nowMs);
-  /// Comes back from a copy that is so old. What was written since is lost, its
-  /// revisions are given out again, and watches have to end.
+  /// Restores the latest snapshot that is at least `ageMs` old, or else the
+  /// oldest. Later writes are lost, their revisions are assigned again, and
+  /// watches have to end.
   void restore(int64_t nowMs, int64_t ageMs);
-  /// How often it was restored.
+  /// Returns the number of restores.
   int64_t restoreCount() const;
 
 private:
--- a/standins/wire/Main.cpp
+++ b/standins/wire/Main.cpp
@@ -1,10 +1,10 @@
-// standin-wire: the network between instances. It relays UDP and TCP, counts
-// what goes over TCP (the control traffic), and can cut a zone off.
+// standin-wire: simulates the network between instances. Relays UDP and TCP,
+// counts the bytes sent over TCP (the control traffic), and can cut off a zone.
 //
 //   POST /relay?packets=IP:PORT&peers=IP:PORT   -> the addresses of the relays
-//   POST /cut?net=127.0.3.   (empty: heal)
+//   POST /cut?net=127.0.3.   (empty: end the cut)
 //   GET  /stats
-// It prints "port=N" when it is ready.
+// Prints "port=N" when it is ready.
 
 #include "chicorybank/base/Socket.h"
 
@@ -121,8 +121,8 @@
   if (!client.valid())
     return;
   auto server = chicory::connectTcp(0, relay.To);
-  // Connecting on loopback is refused at once where nothing listens. From then
-  // on the relay refuses too, as the network would.
+  // On loopback, connecting to a port without a listener fails at once. The
+  // relay then stops listening, so that later connections are refused too.
   bool refused = !server || connectFailed(*server);
   if (refused)
     relay.Listener.reset();
@@ -151,7 +151,7 @@
 }
 
 void Wire::relayTcp(Connection &connection) {
-  // A cut drops nothing of a TCP stream: it holds it up until it is healed.
+  // A cut loses no bytes of a TCP stream; it delays them until the cut ends.
   if (isCutBetween(connection.ClientIp, connection.ServerIp))
     return;
   size_t before = connection.ToServer.size();
@@ -181,7 +181,7 @@
       for (const UdpRelay &it : Udp)
         fds.push_back({.fd = it.Socket.get(), .events = POLLIN});
       for (const TcpRelay &it : Tcp)
-        // poll passes over the negative descriptor of a closed relay.
+        // poll ignores the negative descriptor of a closed relay.
         fds.push_back({.fd = it.Listener.get(), .events = POLLIN});
     }
     ::poll(fds.data(), fds.size(), PollTimeoutMs);
@@ -237,7 +237,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Stands in for the network between instances.");
+  CLI::App app("Simulates the network between instances.");
   CLI11_PARSE(app, argc, argv);
   Wire wire;
   httplib::Server server;
