--- a/bench/CoreBench.cpp
+++ b/bench/CoreBench.cpp
@@ -30,7 +30,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int Rounds = 7;
-constexpr uint32_t FeedsIp = 0x0a010001;
+constexpr uint32_t RecordsIp = 0x0a010001;
 constexpr Time Start{std::chrono::seconds(1000)};
 
 struct Figure {
@@ -53,8 +53,8 @@
     Clock::time_point begin = Clock::now();
     for (size_t i = 0; i < count; ++i)
       call(i);
-    std::chrono::duration<double, std::nano> spent = Clock::now() - begin;
-    times.push_back(spent.count() / static_cast<double>(count));
+    std::chrono::duration<double, std::nano> elapsed = Clock::now() - begin;
+    times.push_back(elapsed.count() / static_cast<double>(count));
   }
   std::sort(times.begin(), times.end());
   return times[times.size() / 2];
@@ -63,7 +63,7 @@
 FlowKey flow(uint32_t n) {
   return {.Source = {.Ip = 0x0ac80000 + n / 60000,
                      .Port = static_cast<uint16_t>(n % 60000)},
-          .Destination = {.Ip = FeedsIp, .Port = 443},
+          .Destination = {.Ip = RecordsIp, .Port = 443},
           .Protocol = 17};
 }
 
@@ -90,7 +90,7 @@
     for (Prefix &prefix : it.Destinations)
       prefix.Ip &= prefixMask(prefix.Length);
   out.Rules.push_back({.Name = "last",
-                       .Destinations = {{.Ip = FeedsIp, .Length = 32}},
+                       .Destinations = {{.Ip = RecordsIp, .Length = 32}},
                        .Service = service.Id});
   return out;
 }
@@ -127,9 +127,9 @@
                   actions);
       actions.clear();
     }
-    std::chrono::duration<double, std::nano> spent = Clock::now() - begin;
+    std::chrono::duration<double, std::nano> elapsed = Clock::now() - begin;
     std::string suffix = "_" + std::to_string(flows);
-    report("open_ns" + suffix, spent.count() / flows, "ns");
+    report("open_ns" + suffix, elapsed.count() / flows, "ns");
     std::mt19937 random(1);
     std::vector<Event> events;
     events.reserve(10'000);
@@ -163,8 +163,8 @@
     std::string suffix = "_" + std::to_string(count);
     Clock::time_point begin = Clock::now();
     RuleMatcher matcher(rules.Rules);
-    std::chrono::duration<double, std::micro> spent = Clock::now() - begin;
-    report("compile_us" + suffix, spent.count(), "us");
+    std::chrono::duration<double, std::micro> elapsed = Clock::now() - begin;
+    report("compile_us" + suffix, elapsed.count(), "us");
     size_t found = 0;
     report("match_ns" + suffix,
            nanoseconds(100'000,
--- a/bench/EdgeBench.cpp
+++ b/bench/EdgeBench.cpp
@@ -28,9 +28,9 @@
   auto begin = std::chrono::steady_clock::now();
   for (size_t n = 0; n < times; ++n)
     body(n);
-  std::chrono::duration<double, std::nano> took =
+  std::chrono::duration<double, std::nano> elapsed =
       std::chrono::steady_clock::now() - begin;
-  return took.count() / static_cast<double>(times);
+  return elapsed.count() / static_cast<double>(times);
 }
 
 void report(const char *name, size_t size, double value) {
@@ -62,7 +62,7 @@
 }
 
 /// A core that serves, with this many servers of one service.
-token::Core serving(size_t servers) {
+token::Core servingCore(size_t servers) {
   token::Core core({.Zone = "a"});
   token::Actions actions;
   token::RouteSet routes{.Version = RuleVersion{1}};
@@ -79,7 +79,7 @@
 }
 
 void measureOpenings(size_t servers) {
-  token::Core core = serving(servers);
+  token::Core core = servingCore(servers);
   token::Actions actions;
   std::array<std::byte, 32> raw{};
   Time now{100s};
@@ -93,21 +93,21 @@
 }
 
 void measurePackets(size_t flows) {
-  token::Core core = serving(20);
+  token::Core core = servingCore(20);
   token::Actions actions;
   std::array<std::byte, 32> raw{};
   Time now{100s};
   double before = residentBytes();
-  auto carry = [&](size_t n) {
+  auto forward = [&](size_t n) {
     actions.clear();
     token::FlowPacket head = packet(n % flows);
     head.Echo = token::tokenOf(token::BackendId{1 + n % flows % 20});
     core.handle(token::PacketReceived{.Head = head, .Raw = raw}, now, actions);
   };
-  nanoseconds(flows, carry);
+  nanoseconds(flows, forward);
   report("flow_bytes, by flows", flows,
          (residentBytes() - before) / static_cast<double>(flows));
-  report("carry_ns, by flows", flows, nanoseconds(200'000, carry));
+  report("carry_ns, by flows", flows, nanoseconds(200'000, forward));
   report("sweep_us, by flows", flows, nanoseconds(20, [&](size_t) {
                                         now += 300ms;
                                         actions.clear();
@@ -130,15 +130,15 @@
   return out;
 }
 
-void measureNews(size_t servers) {
+void measureUpdates(size_t servers) {
   platform::StoreDialect dialect;
   std::string body = dialect.serializePage(registrations(servers));
   Findings findings;
   double before = residentBytes();
-  edge::RegistryCache copy(dialect);
-  double whole = nanoseconds(
-      1, [&](size_t) { copy.replaceAll(*dialect.parsePage(body), findings); });
-  report("list_us, by servers", servers, whole / 1000);
+  edge::RegistryCache cache(dialect);
+  double listNs = nanoseconds(
+      1, [&](size_t) { cache.replaceAll(*dialect.parsePage(body), findings); });
+  report("list_us, by servers", servers, listNs / 1000);
   report("item_bytes, by servers", servers,
          (residentBytes() - before) / static_cast<double>(servers));
   edge::UpdatePush push{.Base = {.Revision = 1}};
@@ -158,7 +158,7 @@
   // One size alone: memory is only seen in a process that has done nothing
   // else.
   if (argc > 1) {
-    measureNews(std::stoul(argv[1]));
+    measureUpdates(std::stoul(argv[1]));
     return 0;
   }
   std::printf("%-28s %8s %12s\n", "slope", "size", "value");
@@ -168,6 +168,6 @@
   for (size_t flows : {1'000, 10'000, 100'000})
     measurePackets(flows);
   for (size_t servers : {20, 150, 1'000, 20'000})
-    measureNews(servers);
+    measureUpdates(servers);
   return 0;
 }
--- a/bench/ForwardBench.cpp
+++ b/bench/ForwardBench.cpp
@@ -25,43 +25,43 @@
 using namespace chicory;
 using Clock = std::chrono::steady_clock;
 
-constexpr size_t Batch = 64;
-constexpr size_t Room = 2048;
+constexpr size_t BatchSize = 64;
+constexpr size_t MaxDatagramBytes = 2048;
 
 /// Arrays for recvmmsg and sendmmsg.
-struct Batches {
-  Batches() {
-    for (size_t i = 0; i < Batch; ++i) {
-      Vectors[i] = {.iov_base = Bytes[i].data(), .iov_len = Room};
+struct MessageBatch {
+  MessageBatch() {
+    for (size_t i = 0; i < BatchSize; ++i) {
+      Vectors[i] = {.iov_base = Bytes[i].data(), .iov_len = MaxDatagramBytes};
       Headers[i].msg_hdr.msg_iov = &Vectors[i];
       Headers[i].msg_hdr.msg_iovlen = 1;
-      Headers[i].msg_hdr.msg_name = &Names[i];
+      Headers[i].msg_hdr.msg_name = &Addresses[i];
       Headers[i].msg_hdr.msg_namelen = sizeof(sockaddr_in);
     }
   }
-  std::array<std::array<char, Room>, Batch> Bytes{};
-  std::array<iovec, Batch> Vectors{};
-  std::array<sockaddr_in, Batch> Names{};
-  std::array<mmsghdr, Batch> Headers{};
+  std::array<std::array<char, MaxDatagramBytes>, BatchSize> Bytes{};
+  std::array<iovec, BatchSize> Vectors{};
+  std::array<sockaddr_in, BatchSize> Addresses{};
+  std::array<mmsghdr, BatchSize> Headers{};
 };
 
 /// Forwards everything to one address until told to stop. Returns the
 /// processor seconds that it used.
 double relay(const FileDescriptor &socket, Address to,
              const std::atomic<bool> &stop) {
-  Batches buf;
+  MessageBatch buf;
   pollfd waiting{.fd = socket.get(), .events = POLLIN};
   while (!stop) {
-    for (size_t i = 0; i < Batch; ++i)
-      buf.Vectors[i].iov_len = Room;
-    int n = ::recvmmsg(socket.get(), buf.Headers.data(), Batch, 0, nullptr);
+    for (size_t i = 0; i < BatchSize; ++i)
+      buf.Vectors[i].iov_len = MaxDatagramBytes;
+    int n = ::recvmmsg(socket.get(), buf.Headers.data(), BatchSize, 0, nullptr);
     if (n <= 0) {
       ::poll(&waiting, 1, 10);
       continue;
     }
     for (int i = 0; i < n; ++i) {
       buf.Vectors[i].iov_len = buf.Headers[i].msg_len;
-      buf.Names[i] = toSockaddr(to);
+      buf.Addresses[i] = toSockaddr(to);
       buf.Headers[i].msg_hdr.msg_namelen = sizeof(sockaddr_in);
     }
     ::sendmmsg(socket.get(), buf.Headers.data(), static_cast<unsigned>(n), 0);
@@ -107,41 +107,41 @@
 
 /// Sends packets and counts those that arrive at `sink`; at most `window` are
 /// under way. Returns how many arrived.
-uint64_t drive(const FileDescriptor &source, const FileDescriptor &sink,
-               Address to, const std::vector<QByteArray> &packets,
-               std::chrono::seconds length) {
+uint64_t sendLoad(const FileDescriptor &source, const FileDescriptor &sink,
+                  Address to, const std::vector<QByteArray> &packets,
+                  std::chrono::seconds length) {
   constexpr int64_t Window = 2048;
-  Batches in;
-  Batches out;
+  MessageBatch in;
+  MessageBatch out;
   uint64_t sent = 0;
   uint64_t arrived = 0;
-  uint64_t written = 0;
+  uint64_t sentMinusLost = 0;
   Clock::time_point end = Clock::now() + length;
   Clock::time_point lastArrival = Clock::now();
   size_t next = 0;
   while (Clock::now() < end) {
-    int n = ::recvmmsg(sink.get(), in.Headers.data(), Batch, 0, nullptr);
+    int n = ::recvmmsg(sink.get(), in.Headers.data(), BatchSize, 0, nullptr);
     if (n > 0) {
       arrived += static_cast<uint64_t>(n);
       lastArrival = Clock::now();
     }
     // What the network lost would hold the window for ever.
     if (Clock::now() - lastArrival > std::chrono::milliseconds(20)) {
-      written = arrived;
+      sentMinusLost = arrived;
       lastArrival = Clock::now();
     }
-    if (static_cast<int64_t>(written - arrived) > Window)
+    if (static_cast<int64_t>(sentMinusLost - arrived) > Window)
       continue;
-    for (size_t i = 0; i < Batch; ++i) {
+    for (size_t i = 0; i < BatchSize; ++i) {
       const QByteArray &it = packets[next++ % packets.size()];
       out.Vectors[i] = {.iov_base = const_cast<char *>(it.constData()),
                         .iov_len = static_cast<size_t>(it.size())};
-      out.Names[i] = toSockaddr(to);
+      out.Addresses[i] = toSockaddr(to);
     }
-    int done = ::sendmmsg(source.get(), out.Headers.data(), Batch, 0);
+    int done = ::sendmmsg(source.get(), out.Headers.data(), BatchSize, 0);
     if (done > 0) {
       sent += static_cast<uint64_t>(done);
-      written += static_cast<uint64_t>(done);
+      sentMinusLost += static_cast<uint64_t>(done);
     }
   }
   return arrived;
@@ -179,16 +179,16 @@
   std::chrono::seconds length(seconds);
   std::vector<QByteArray> opens = datagrams(PacketKind::Open, flows);
   std::vector<QByteArray> data = datagrams(PacketKind::Data, flows);
-  drive(*source, *sink, *to, opens, std::chrono::seconds(1));
+  sendLoad(*source, *sink, *to, opens, std::chrono::seconds(1));
   double before = processorSeconds(pid);
-  uint64_t forwarded = drive(*source, *sink, *to, data, length);
+  uint64_t forwarded = sendLoad(*source, *sink, *to, data, length);
   double daemonCpu = processorSeconds(pid) - before;
   std::atomic<bool> stop = false;
   double relayCpu = 0;
   std::thread worker(
       [&] { relayCpu = relay(*relaySocket, *sinkAddress, stop); });
   uint64_t relayed =
-      drive(*source, *sink, boundAddress(*relaySocket), data, length);
+      sendLoad(*source, *sink, boundAddress(*relaySocket), data, length);
   stop = true;
   worker.join();
   print("relay", relayed, seconds, relayCpu);
--- a/bench/ImbalanceBench.cpp
+++ b/bench/ImbalanceBench.cpp
@@ -27,9 +27,9 @@
 constexpr uint32_t TargetCount = 15;
 constexpr uint32_t Slots = 2;
 constexpr double MeanWorkMs = 40;
-constexpr int MostTries = 4;
-constexpr Duration RetryAfter = std::chrono::milliseconds(15);
-constexpr Duration GiveUpAfter = std::chrono::seconds(2);
+constexpr int MaxTries = 4;
+constexpr Duration RetryDelay = std::chrono::milliseconds(15);
+constexpr Duration RequestTimeout = std::chrono::seconds(2);
 
 Service makeService() {
   Service out{.Name = "records", .Id = serviceIdOf("records"), .Slots = Slots};
@@ -57,9 +57,9 @@
 };
 
 /// What the product does.
-class Ours : public Placement {
+class ProductPlacement : public Placement {
 public:
-  explicit Ours(const Service &service) : Records(service) {
+  explicit ProductPlacement(const Service &service) : Records(service) {
     RuleSet rules;
     rules.Version = RuleVersion{1};
     rules.Services = {service};
@@ -68,25 +68,27 @@
     for (uint32_t i = 1; i <= Instances; ++i)
       live.push_back(InstanceId{i});
     for (InstanceId it : live) {
-      Books.push_back(std::make_unique<Targets>(it, it.Value, TargetOptions()));
-      Books.back()->learn(compiled, Time{});
-      Books.back()->assignSlots(compiled, live);
+      TargetsByInstance.push_back(
+          std::make_unique<Targets>(it, it.Value, TargetOptions()));
+      TargetsByInstance.back()->learn(compiled, Time{});
+      TargetsByInstance.back()->assignSlots(compiled, live);
     }
   }
   std::optional<TargetId> choose(const Job &job, Time now) override {
-    return Books[job.Instance]->chooseForRequest(Records, job.Tried, now);
+    return TargetsByInstance[job.Instance]->chooseForRequest(Records, job.Tried,
+                                                             now);
   }
   void sent(const Job &job, TargetId target) override {
-    Books[job.Instance]->requestSent(target);
+    TargetsByInstance[job.Instance]->requestSent(target);
   }
   void ended(const Job &job, TargetId target, RequestEnd how, Time sentAt,
              Time now) override {
-    Books[job.Instance]->requestEnded(target, how, sentAt, now);
+    TargetsByInstance[job.Instance]->requestEnded(target, how, sentAt, now);
   }
 
 private:
   Service Records;
-  std::vector<std::unique_ptr<Targets>> Books;
+  std::vector<std::unique_ptr<Targets>> TargetsByInstance;
 };
 
 class RoundRobin : public Placement {
@@ -147,10 +149,10 @@
 public:
   Simulation(double load, Duration length, uint64_t seed)
       : Length(length), Random(seed),
-        Gap(load * TargetCount * Slots / (MeanWorkMs * 1000)) {
+        ArrivalGap(load * TargetCount * Slots / (MeanWorkMs * 1000)) {
     for (const Target &it : Records.Targets) {
       Running[it.Id] = 0;
-      Worked[it.Id] = 0;
+      JobsRun[it.Id] = 0;
     }
   }
 
@@ -158,71 +160,71 @@
   const std::map<TargetId, uint32_t> &running() const { return Running; }
 
   Result run(Placement &placement) {
-    Policy = &placement;
+    ActivePlacement = &placement;
     arrive(Time{});
     while (!Queue.empty()) {
       auto it = Queue.begin();
       Now = it->first;
-      std::function<void()> what = std::move(it->second);
+      std::function<void()> action = std::move(it->second);
       Queue.erase(it);
-      what();
+      action();
     }
     return summary();
   }
 
 private:
-  void at(Time time, std::function<void()> what) {
-    Queue.emplace(time, std::move(what));
+  void schedule(Time time, std::function<void()> action) {
+    Queue.emplace(time, std::move(action));
   }
 
   void arrive(Time time) {
     if (time - Time{} > Length)
       return;
-    at(time, [this, time] {
+    schedule(time, [this, time] {
       Job job{.Arrived = time,
               .Instance = static_cast<uint32_t>(Random() % Instances)};
       place(job);
-      arrive(time + Duration(1 + static_cast<int64_t>(Gap(Random))));
+      arrive(time + Duration(1 + static_cast<int64_t>(ArrivalGap(Random))));
     });
   }
 
   void place(const Job &job) {
-    if (Now - job.Arrived > GiveUpAfter) {
+    if (Now - job.Arrived > RequestTimeout) {
       ++Out.Lost;
       return;
     }
-    std::optional<TargetId> target = Policy->choose(job, Now);
+    std::optional<TargetId> target = ActivePlacement->choose(job, Now);
     if (!target) {
       Waiting[job.Instance].push_back(job);
       return;
     }
-    Policy->sent(job, *target);
+    ActivePlacement->sent(job, *target);
     if (Running[*target] >= Slots)
       return shed(job, *target);
     ++Running[*target];
-    ++Worked[*target];
-    Waits.push_back(static_cast<double>((Now - job.Arrived).count()) / 1000);
+    ++JobsRun[*target];
+    WaitsMs.push_back(static_cast<double>((Now - job.Arrived).count()) / 1000);
     auto work = std::uniform_int_distribution<int64_t>(20'000, 60'000)(Random);
-    at(Now + Duration(work), [this, job, target = *target, sentAt = Now] {
+    schedule(Now + Duration(work), [this, job, target = *target, sentAt = Now] {
       --Running[target];
       ++Out.Done;
-      Policy->ended(job, target, RequestEnd::Answered, sentAt, Now);
-      wake(job.Instance);
+      ActivePlacement->ended(job, target, RequestEnd::Answered, sentAt, Now);
+      retryWaiting(job.Instance);
     });
   }
 
   void shed(Job job, TargetId target) {
     ++Out.Sheds;
-    Policy->ended(job, target, RequestEnd::Shed, Now, Now);
+    ActivePlacement->ended(job, target, RequestEnd::Shed, Now, Now);
     job.Tried.push_back(target);
-    if (++job.Tries >= MostTries) {
+    if (++job.Tries >= MaxTries) {
       job.Tried.clear();
       job.Tries = 0;
     }
-    at(Now + RetryAfter, [this, job] { place(job); });
+    schedule(Now + RetryDelay, [this, job] { place(job); });
   }
 
-  void wake(uint32_t instance) {
+  void retryWaiting(uint32_t instance) {
     std::vector<Job> jobs = std::move(Waiting[instance]);
     Waiting[instance].clear();
     for (const Job &it : jobs)
@@ -231,28 +233,28 @@
 
   Result summary() {
     double sum = 0;
-    double most = 0;
-    for (const auto &[id, count] : Worked) {
+    double maxCount = 0;
+    for (const auto &[id, count] : JobsRun) {
       sum += static_cast<double>(count);
-      most = std::max(most, static_cast<double>(count));
+      maxCount = std::max(maxCount, static_cast<double>(count));
     }
-    Out.Imbalance = most * TargetCount / sum;
-    std::sort(Waits.begin(), Waits.end());
-    Out.WaitP99Ms = Waits[Waits.size() * 99 / 100];
+    Out.Imbalance = maxCount * TargetCount / sum;
+    std::sort(WaitsMs.begin(), WaitsMs.end());
+    Out.WaitP99Ms = WaitsMs[WaitsMs.size() * 99 / 100];
     return Out;
   }
 
   Service Records = makeService();
   Duration Length;
   std::mt19937_64 Random;
-  std::exponential_distribution<double> Gap;
-  Placement *Policy = nullptr;
+  std::exponential_distribution<double> ArrivalGap;
+  Placement *ActivePlacement = nullptr;
   Time Now;
   std::multimap<Time, std::function<void()>> Queue;
   std::map<TargetId, uint32_t> Running;
-  std::map<TargetId, uint64_t> Worked;
+  std::map<TargetId, uint64_t> JobsRun;
   std::map<uint32_t, std::vector<Job>> Waiting;
-  std::vector<double> Waits;
+  std::vector<double> WaitsMs;
   Result Out;
 };
 
@@ -276,29 +278,29 @@
   app.add_option("--seconds", seconds, "Simulated");
   app.add_option("--seed", seed, "");
   CLI11_PARSE(app, argc, argv);
-  auto fresh = [&] {
+  auto newSimulation = [&] {
     return Simulation(load, std::chrono::seconds(seconds), seed);
   };
   {
-    Simulation world = fresh();
-    Ours placement(world.service());
-    print("chicorybank", world.run(placement));
+    Simulation simulation = newSimulation();
+    ProductPlacement placement(simulation.service());
+    print("chicorybank", simulation.run(placement));
   }
   {
-    Simulation world = fresh();
+    Simulation simulation = newSimulation();
     RoundRobin placement;
-    print("round robin", world.run(placement));
+    print("round robin", simulation.run(placement));
   }
   {
-    Simulation world = fresh();
+    Simulation simulation = newSimulation();
     RandomChoice placement;
-    print("random", world.run(placement));
+    print("random", simulation.run(placement));
   }
   for (int age : {0, 2, 10}) {
-    Simulation world = fresh();
-    LeastReported placement(std::chrono::seconds(age), world.running());
+    Simulation simulation = newSimulation();
+    LeastReported placement(std::chrono::seconds(age), simulation.running());
     std::string name = "least reported, " + std::to_string(age) + " s old";
-    print(name.c_str(), world.run(placement));
+    print(name.c_str(), simulation.run(placement));
   }
   return 0;
 }
--- a/tests/RequestPathTest.cpp
+++ b/tests/RequestPathTest.cpp
@@ -339,7 +339,7 @@
       world.Targets[samples::target(n)].Dead = true;
     // Three of four targets are silent.
     for (uint32_t i = 0; i < 4; ++i)
-      world.request(flow(i, samples::DocumentsIp), i, true, Deadline);
+      world.request(flow(i, samples::CertificatesIp), i, true, Deadline);
     world.run(3s);
     expectTrue(countAnswered(world) >= 3, "at least three of four answered");
   }
--- a/tests/Samples.h
+++ b/tests/Samples.h
@@ -10,11 +10,11 @@
 
 using namespace chicory;
 
-inline constexpr uint32_t FeedsIp = 0x0a010001;     // 10.1.0.1
-inline constexpr uint32_t DocumentsIp = 0x0a020001; // 10.2.0.1
+inline constexpr uint32_t RecordsIp = 0x0a010001;      // 10.1.0.1
+inline constexpr uint32_t CertificatesIp = 0x0a020001; // 10.2.0.1
 
 /// The nth flow to a service's address.
-inline FlowKey flow(uint32_t n, uint32_t ip = FeedsIp) {
+inline FlowKey flow(uint32_t n, uint32_t ip = RecordsIp) {
   return {.Source = {.Ip = 0x0ac80000 + n / 60000,
                      .Port = static_cast<uint16_t>(n % 60000)},
           .Destination = {.Ip = ip, .Port = 443},
@@ -40,10 +40,10 @@
   out.SubmissionId = "sample";
   out.Services = {service("records", 0, 15), service("certificates", 50, 4)};
   out.Rules = {{.Name = "records",
-                .Destinations = {{.Ip = FeedsIp, .Length = 32}},
+                .Destinations = {{.Ip = RecordsIp, .Length = 32}},
                 .Service = out.Services[0].Id},
                {.Name = "certificates",
-                .Destinations = {{.Ip = DocumentsIp, .Length = 32}},
+                .Destinations = {{.Ip = CertificatesIp, .Length = 32}},
                 .Service = out.Services[1].Id}};
   return out;
 }
--- a/tests/Story.h
+++ b/tests/Story.h
@@ -25,37 +25,37 @@
 namespace story {
 
 /// Where an expectation stands. (clang 14 has no std::source_location.)
-struct Where {
+struct SourceLocation {
   const char *File = __builtin_FILE();
   int Line = __builtin_LINE();
 };
 
 /// The titles of the sections that are running, outermost first.
-inline std::vector<std::string> &titles() {
+inline std::vector<std::string> &sectionTitles() {
   static std::vector<std::string> out;
   return out;
 }
 
 /// Runs one part of a test; its title stands in failure messages.
 template <typename Body> void section(const std::string &title, Body body) {
-  titles().push_back(title);
+  sectionTitles().push_back(title);
   struct Pop {
-    ~Pop() { titles().pop_back(); }
+    ~Pop() { sectionTitles().pop_back(); }
   } pop;
   body();
 }
 
 /// Fails the test with the sections that led here.
 [[noreturn]] inline void fail(const std::string &what,
-                              const Where &where = {}) {
+                              const SourceLocation &location = {}) {
   std::string path;
-  for (const std::string &it : titles())
+  for (const std::string &it : sectionTitles())
     path += "\n  " + it;
   throw CppUnit::Exception(CppUnit::Message(what + path),
-                           CppUnit::SourceLine(where.File, where.Line));
+                           CppUnit::SourceLine(location.File, location.Line));
 }
 
-template <typename T> std::string shown(const T &value) {
+template <typename T> std::string toText(const T &value) {
   std::ostringstream out;
   if constexpr (requires { out << value; })
     out << value;
@@ -66,24 +66,24 @@
 
 template <typename T>
 void expectEqual(const std::type_identity_t<T> &expected, const T &actual,
-                 const Where &where = {}) {
+                 const SourceLocation &location = {}) {
   if (!(expected == actual))
-    fail("expected " + shown(expected) + ", got " + shown(actual), where);
+    fail("expected " + toText(expected) + ", got " + toText(actual), location);
 }
 
 inline void expectTrue(bool condition, const std::string &what,
-                       const Where &where = {}) {
+                       const SourceLocation &location = {}) {
   if (!condition)
-    fail("expected: " + what, where);
+    fail("expected: " + what, location);
 }
 
 /// Checks a property with generated inputs. The seed is fixed (see Main.cpp);
 /// RC_PARAMS="max_success=10000 seed=N" asks for more.
 template <typename Testable>
 void property(const std::string &what, Testable testable,
-              const Where &where = {}) {
+              const SourceLocation &location = {}) {
   if (!rc::check(what, testable))
-    fail("property: " + what, where);
+    fail("property: " + what, location);
 }
 
 } // namespace story
--- a/tests/TokenCoreTest.cpp
+++ b/tests/TokenCoreTest.cpp
@@ -387,7 +387,7 @@
       instance.packet(last);
     }
     expectTrue(atReturned <= Flows / 5,
-               "a fifth at most: " + shown(atReturned));
+               "a fifth at most: " + toText(atReturned));
   }
 
   // Symptom: nobody is served for two seconds after all instances were killed.
--- a/tests/WarmUpTest.cpp
+++ b/tests/WarmUpTest.cpp
@@ -74,7 +74,7 @@
     Instance instance = settled(1, {peer(1)}, 4);
     instance.handle(BackendsLearned{.Present = {cold(1), server(2)}});
     size_t n = openedAt(instance, 1, 200, 5ms);
-    expectTrue(n >= 3 && n <= 5, "about four in a second: " + shown(n));
+    expectTrue(n >= 3 && n <= 5, "about four in a second: " + toText(n));
     section("until it is warm", [&] {
       instance.Now += 1s;
       expectTrue(openedAt(instance, 1, 100, 5ms) > 20, "its share");
--- a/tests/ZonesTest.cpp
+++ b/tests/ZonesTest.cpp
@@ -67,7 +67,7 @@
       lost += opensInSilentZoneB(instance, port) ? 1 : 0;
       instance.pass(10ms);
     }
-    expectTrue(lost <= 10, "few are lost: " + shown(lost));
+    expectTrue(lost <= 10, "few are lost: " + toText(lost));
   }
 
   void movesTheOpeningsThatWaitThere() {
@@ -75,7 +75,7 @@
     size_t waiting = 0;
     for (uint16_t port = 1; port <= 20; ++port)
       waiting += opensInSilentZoneB(instance, port) ? 1 : 0;
-    expectTrue(waiting >= 4, "some went there: " + shown(waiting));
+    expectTrue(waiting >= 4, "some went there: " + toText(waiting));
     size_t moved = 0;
     for (const Forward &it : only<Forward>(instance.pass(60ms)))
       moved += inZoneB(it.To.Value) ? 0 : 1;
