--- a/bench/CoreBench.cpp
+++ b/bench/CoreBench.cpp
@@ -1,4 +1,4 @@
-// Measures what a core costs: decisions, matching, memory, messages.
+// Measures the costs of the core: decisions, rule matching, memory, messages.
 //
 //   build/bench-core            all figures, one "name value unit" a line
 //   build/bench-core --json     for tools/capacity
@@ -46,7 +46,8 @@
   std::fprintf(stderr, "%-40s %12.1f %s\n", name.c_str(), value, unit.c_str());
 }
 
-/// Median nanoseconds of one call out of `count`.
+/// Returns the time per call in nanoseconds: the median over rounds of `count`
+/// calls each.
 double nanoseconds(size_t count, const std::function<void(size_t)> &call) {
   std::vector<double> times;
   for (int round = 0; round < Rounds; ++round) {
@@ -103,7 +104,7 @@
   return out;
 }
 
-/// A core that is live and alone.
+/// Returns a live core of a deployment with one instance.
 Core liveCore(uint32_t flows, uint32_t rules) {
   CoreOptions options{.Self = {.Id = InstanceId{1}}};
   options.Flows.MaxFlows = flows + 10;
@@ -193,7 +194,7 @@
   }
 }
 
-/// Heap bytes that a compiled rule set takes.
+/// Returns the heap bytes that a compiled rule set takes.
 double compiledBytes(uint32_t rules, uint32_t targets) {
   size_t before = ::mallinfo2().uordblks;
   auto compiled =
@@ -202,7 +203,7 @@
   return static_cast<double>(after - before);
 }
 
-/// Heap bytes that remain of it once it is in the past.
+/// Returns the heap bytes that are kept of a rule set after its replacement.
 double pastBytes(uint32_t rules, uint32_t targets) {
   CompiledRules compiled(ruleSet(rules, targets));
   size_t before = ::mallinfo2().uordblks;
@@ -268,7 +269,7 @@
 }
 
 void measureControl() {
-  // Length, code and frame head come on top of the message itself.
+  // Each message also carries a length, a message code and a frame header.
   constexpr double Framing = 4 + MessageCodeBytes + 9;
   PeerKey key("a key for measurements");
   for (uint32_t group : {7U, 14U, 28U}) {
@@ -354,7 +355,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Measures what a core costs.");
+  CLI::App app("Measures the costs of the core.");
   bool json = false;
   app.add_flag("--json", json, "Print one JSON object");
   CLI11_PARSE(app, argc, argv);
--- a/bench/EdgeBench.cpp
+++ b/bench/EdgeBench.cpp
@@ -1,8 +1,9 @@
-// Slopes of the edge: what a packet, an opening, a change of news and a push
-// cost, and how that grows. docs/CAPACITY.md is worked out from them.
+// Measures how the costs of the edge grow with its size: packets, flow
+// openings, registry updates and pushes. docs/CAPACITY.md is derived from these
+// figures.
 //
-// build/bench-edge all figures
-// build/bench-edge 20000 news of that many servers, with its memory
+//   build/bench-edge          all figures
+//   build/bench-edge 20000    registry updates of 20000 servers, and memory
 
 #include "platform/StoreDialect.h"
 
@@ -23,7 +24,7 @@
 constexpr ServiceId Service{1};
 constexpr Address Route{.Ip = 0xc6120001, .Port = 443};
 
-/// Nanoseconds of one call, on average.
+/// Returns the mean time per call in nanoseconds.
 template <typename Body> double nanoseconds(size_t times, Body body) {
   auto begin = std::chrono::steady_clock::now();
   for (size_t n = 0; n < times; ++n)
@@ -37,7 +38,7 @@
   std::printf("%-28s %8zu %12.1f\n", name, size, value);
 }
 
-/// Resident bytes of this process.
+/// Returns the resident memory of this process in bytes.
 double residentBytes() {
   std::ifstream in("/proc/self/statm");
   size_t total = 0;
@@ -61,7 +62,7 @@
           .Route = Route};
 }
 
-/// A core that serves, with this many servers of one service.
+/// Returns a core that forwards to this many servers of one service.
 token::Core servingCore(size_t servers) {
   token::Core core({.Zone = "a"});
   token::Actions actions;
@@ -155,8 +156,8 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  // One size alone: memory is only seen in a process that has done nothing
-  // else.
+  // Measures one size alone: memory figures are valid only in a process that
+  // has measured nothing before.
   if (argc > 1) {
     measureUpdates(std::stoul(argv[1]));
     return 0;
--- a/bench/ForwardBench.cpp
+++ b/bench/ForwardBench.cpp
@@ -1,10 +1,11 @@
-// Packets per second of one chicoryd beside a bare recvmmsg/sendmmsg relay.
+// Compares the packets per second of one chicoryd with those of a bare
+// recvmmsg/sendmmsg relay.
 //
 //   build/bench-forward --daemon build/chicoryd --settings FILE ...
 //
-// The load comes from one thread that keeps a bounded number of packets under
-// way, each an established flow's; both programs get the same load in turn.
-// `tools/bench-forward` starts all that it needs.
+// One thread generates the load: packets of established flows, with a bounded
+// number in flight. Both programs get the same load, one after the other.
+// `tools/bench-forward` starts all processes that this needs.
 
 #include "chicorybank/base/Socket.h"
 #include "chicorybank/packet/Packet.h"
@@ -28,7 +29,7 @@
 constexpr size_t BatchSize = 64;
 constexpr size_t MaxDatagramBytes = 2048;
 
-/// Arrays for recvmmsg and sendmmsg.
+/// Buffers for recvmmsg and sendmmsg.
 struct MessageBatch {
   MessageBatch() {
     for (size_t i = 0; i < BatchSize; ++i) {
@@ -45,8 +46,8 @@
   std::array<mmsghdr, BatchSize> Headers{};
 };
 
-/// Forwards everything to one address until told to stop. Returns the
-/// processor seconds that it used.
+/// Forwards all datagrams to one address until `stop` is set. Returns the CPU
+/// seconds used.
 double relay(const FileDescriptor &socket, Address to,
              const std::atomic<bool> &stop) {
   MessageBatch buf;
@@ -72,7 +73,7 @@
          static_cast<double>(used.tv_nsec) * 1e-9;
 }
 
-/// Processor seconds that a process has used, from its stat file.
+/// Returns the CPU seconds that a process has used, from /proc/PID/stat.
 double processorSeconds(int pid) {
   std::FILE *file =
       std::fopen(("/proc/" + std::to_string(pid) + "/stat").c_str(), "r");
@@ -105,8 +106,8 @@
   return out;
 }
 
-/// Sends packets and counts those that arrive at `sink`; at most `window` are
-/// under way. Returns how many arrived.
+/// Sends packets while at most `Window` are in flight. Returns the number that
+/// arrives at `sink`.
 uint64_t sendLoad(const FileDescriptor &source, const FileDescriptor &sink,
                   Address to, const std::vector<QByteArray> &packets,
                   std::chrono::seconds length) {
@@ -125,7 +126,8 @@
       arrived += static_cast<uint64_t>(n);
       lastArrival = Clock::now();
     }
-    // What the network lost would hold the window for ever.
+    // Lost packets would occupy the window forever. After 20 ms without an
+    // arrival, all packets in flight count as lost.
     if (Clock::now() - lastArrival > std::chrono::milliseconds(20)) {
       sentMinusLost = arrived;
       lastArrival = Clock::now();
@@ -156,16 +158,20 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Packets per second, beside a bare relay.");
+  CLI::App app("Compares packets per second with those of a bare relay.");
   std::string daemonAt;
   std::string sinkAt;
   int pid = 0;
   int seconds = 5;
   uint32_t flows = 1000;
-  app.add_option("--daemon-at", daemonAt, "IP:port of its packets")->required();
-  app.add_option("--sink-at", sinkAt, "IP:port of its only target")->required();
-  app.add_option("--pid", pid, "Its process")->required();
-  app.add_option("--seconds", seconds, "For each of the two");
+  app.add_option("--daemon-at", daemonAt,
+                 "IP:port that chicoryd receives packets on")
+      ->required();
+  app.add_option("--sink-at", sinkAt, "IP:port of the only target of chicoryd")
+      ->required();
+  app.add_option("--pid", pid, "Process id of chicoryd")->required();
+  app.add_option("--seconds", seconds,
+                 "Length of each of the two measurements");
   CLI11_PARSE(app, argc, argv);
   auto to = parseAddress(daemonAt);
   auto sinkAddress = parseAddress(sinkAt);
--- a/bench/ImbalanceBench.cpp
+++ b/bench/ImbalanceBench.cpp
@@ -1,10 +1,12 @@
-// Imbalance and waiting of request placement, against simple baselines.
+// Compares the imbalance and waiting times of request placement with simple
+// baselines.
 //
 //   build/bench-imbalance [--load 0.8] [--seconds 60]
 //
-// Simulated time: seven instances share fifteen targets with two slots each;
-// requests come at random, take 20 to 60 ms, and are shed by a full target and
-// then tried at another one. Each placement gets the same arrivals.
+// Runs in simulated time: seven instances share fifteen targets with two slots
+// each. Requests arrive at random and take 20 to 60 ms. A full target sheds a
+// request, which is then tried at another one. Each placement gets the same
+// arrivals.
 
 #include "chicorybank/core/Targets.h"
 
@@ -46,7 +48,7 @@
   std::vector<TargetId> Tried;
 };
 
-/// Chooses a target for a job, or none: then the job waits for a completion.
+/// Chooses a target for a job. A job without a target waits for a completion.
 class Placement {
 public:
   virtual ~Placement() = default;
@@ -56,7 +58,7 @@
                      RequestEnd /*how*/, Time /*sentAt*/, Time /*now*/) {}
 };
 
-/// What the product does.
+/// The placement that the load balancer uses.
 class ProductPlacement : public Placement {
 public:
   explicit ProductPlacement(const Service &service) : Records(service) {
@@ -114,7 +116,8 @@
   std::mt19937 Random{3};
 };
 
-/// The least loaded by reports of a given age; ties go to the first.
+/// Chooses the least loaded target by reports that are renewed at a given age;
+/// the first one on a tie.
 class LeastReported : public Placement {
 public:
   LeastReported(Duration age, const std::map<TargetId, uint32_t> &running)
@@ -270,13 +273,14 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Request placement against baselines, in simulated time.");
+  CLI::App app("Compares request placement with baselines, in simulated time.");
   double load = 0.8;
   int seconds = 60;
   uint64_t seed = 1;
-  app.add_option("--load", load, "Of all slots' capacity");
-  app.add_option("--seconds", seconds, "Simulated");
-  app.add_option("--seed", seed, "");
+  app.add_option("--load", load,
+                 "Load as a share of the capacity of all slots");
+  app.add_option("--seconds", seconds, "Simulated duration");
+  app.add_option("--seed", seed, "Seed of the random numbers");
   CLI11_PARSE(app, argc, argv);
   auto newSimulation = [&] {
     return Simulation(load, std::chrono::seconds(seconds), seed);
--- a/tests/Main.cpp
+++ b/tests/Main.cpp
@@ -1,4 +1,4 @@
-// Runs all tests, or those whose class is named on the command line.
+// Runs all tests, or those of the class named on the command line.
 
 #include <cppunit/CompilerOutputter.h>
 #include <cppunit/TestFailure.h>
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// The tests that KNOWN-RED.txt lists: the first word of each line that is not
-/// a comment.
+/// Returns the tests that KNOWN-RED.txt lists: the first word of each line that
+/// is not a comment.
 std::set<std::string> knownRed() {
   std::set<std::string> out;
   std::ifstream file(CHICORY_SOURCE_DIR "/KNOWN-RED.txt");
@@ -34,7 +34,7 @@
   return out;
 }
 
-/// Whether nothing failed but what is known to. Prints what was passed over.
+/// Returns true if only tests listed in KNOWN-RED.txt failed. Prints these.
 bool onlyKnownFailed(const CppUnit::TestResultCollector &result) {
   std::set<std::string> known = knownRed();
   bool ok = true;
@@ -50,7 +50,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  // The same inputs on every run, unless the environment asks for others.
+  // Generates the same inputs on every run unless the environment sets others.
   ::setenv("RC_PARAMS", "seed=20261202 max_success=60", 0);
   CppUnit::TextUi::TestRunner runner;
   runner.setOutputter(
--- a/tests/Samples.h
+++ b/tests/Samples.h
@@ -1,4 +1,4 @@
-// Small inputs that many tests share.
+// Sample inputs shared by many tests.
 
 #ifndef CHICORYBANK_TESTS_SAMPLES_H
 #define CHICORYBANK_TESTS_SAMPLES_H
@@ -13,7 +13,7 @@
 inline constexpr uint32_t RecordsIp = 0x0a010001;      // 10.1.0.1
 inline constexpr uint32_t CertificatesIp = 0x0a020001; // 10.2.0.1
 
-/// The nth flow to a service's address.
+/// Returns the nth flow to the address of a service.
 inline FlowKey flow(uint32_t n, uint32_t ip = RecordsIp) {
   return {.Source = {.Ip = 0x0ac80000 + n / 60000,
                      .Port = static_cast<uint16_t>(n % 60000)},
@@ -33,7 +33,8 @@
   return out;
 }
 
-/// Two services: feeds with 15 targets and documents with 4.
+/// Returns rules for two services: "records" with 15 targets and "certificates"
+/// with 4.
 inline RuleSet ruleSet(uint64_t version) {
   RuleSet out;
   out.Version = RuleVersion{version};
--- a/tests/Story.h
+++ b/tests/Story.h
@@ -1,5 +1,5 @@
-// Tests that read as a story: nested sections, full failure messages, and
-// properties.
+// Test helpers: nested sections whose titles appear in failure messages,
+// expectations, and properties with generated inputs.
 //
 //   void FlowTableTest::forgetsErasedFlows() {
 //     section("a table with one flow", [] {
@@ -24,19 +24,19 @@
 
 namespace story {
 
-/// Where an expectation stands. (clang 14 has no std::source_location.)
+/// Source position of an expectation. (clang 14 has no std::source_location.)
 struct SourceLocation {
   const char *File = __builtin_FILE();
   int Line = __builtin_LINE();
 };
 
-/// The titles of the sections that are running, outermost first.
+/// Returns the titles of the active sections, outermost first.
 inline std::vector<std::string> &sectionTitles() {
   static std::vector<std::string> out;
   return out;
 }
 
-/// Runs one part of a test; its title stands in failure messages.
+/// Runs one part of a test; failure messages include its title.
 template <typename Body> void section(const std::string &title, Body body) {
   sectionTitles().push_back(title);
   struct Pop {
@@ -45,7 +45,7 @@
   body();
 }
 
-/// Fails the test with the sections that led here.
+/// Fails the test; the message includes the titles of the active sections.
 [[noreturn]] inline void fail(const std::string &what,
                               const SourceLocation &location = {}) {
   std::string path;
@@ -77,8 +77,8 @@
     fail("expected: " + what, location);
 }
 
-/// Checks a property with generated inputs. The seed is fixed (see Main.cpp);
-/// RC_PARAMS="max_success=10000 seed=N" asks for more.
+/// Checks a property with generated inputs. The default seed is fixed (see
+/// Main.cpp); RC_PARAMS="max_success=10000 seed=N" sets another and more runs.
 template <typename Testable>
 void property(const std::string &what, Testable testable,
               const SourceLocation &location = {}) {
--- a/tests/fuzz/Fuzz.h
+++ b/tests/fuzz/Fuzz.h
@@ -1,5 +1,5 @@
-// What a fuzz target needs. Each target feeds one reader of bytes that come
-// from outside; tools/fuzz builds and runs them.
+// Helpers of the fuzz targets. Each target feeds one parser of untrusted bytes;
+// tools/fuzz builds and runs the targets.
 
 #ifndef CHICORYBANK_TESTS_FUZZ_FUZZ_H
 #define CHICORYBANK_TESTS_FUZZ_FUZZ_H
@@ -9,7 +9,7 @@
 #include <cstdlib>
 #include <string>
 
-/// Ends the target with a finding unless the condition holds.
+/// Aborts, which the fuzzer reports as a finding, unless the condition holds.
 inline void require(bool condition) {
   if (!condition)
     std::abort();
--- a/tests/fuzz/packet_head.cpp
+++ b/tests/fuzz/packet_head.cpp
@@ -1,5 +1,5 @@
-// Packets of callers: whatever is read keeps within the datagram, and what is
-// sent on differs from it only in the token.
+// Packets of callers: parsed lengths stay within the datagram, and a forwarded
+// packet differs from the received one only in the token.
 
 #include "Fuzz.h"
 
--- a/tests/fuzz/peer_message.cpp
+++ b/tests/fuzz/peer_message.cpp
@@ -1,4 +1,4 @@
-// Datagrams of other instances, messages put together from pieces, and pages.
+// Datagrams of other instances, messages reassembled from fragments, and pages.
 
 #include "Fuzz.h"
 
@@ -9,7 +9,7 @@
   std::span bytes(reinterpret_cast<const char *>(data), size);
   auto push = decodePush(bytes);
   if (push) {
-    // Items that don't fit are left out, so the copy may have fewer.
+    // Without a size limit; encodePush leaves out the items of a push above it.
     auto again = decodePush(encodePush(*push, SIZE_MAX));
     require(again && again->Page.Items == push->Page.Items);
   }
--- a/tests/fuzz/registry_item.cpp
+++ b/tests/fuzz/registry_item.cpp
@@ -1,5 +1,5 @@
-// Values below the keys that an instance reads, by any writer. The first byte
-// chooses the key.
+// Values, from any writer, of the keys that an instance reads. The first byte
+// selects the key.
 
 #include "Fuzz.h"
 
--- a/tests/fuzz/registry_page.cpp
+++ b/tests/fuzz/registry_page.cpp
@@ -1,5 +1,5 @@
-// Answers of the registry, and pages of other instances: what is read can be
-// passed on and read again.
+// Responses of the registry, and pages of other instances: a page that was
+// parsed can be serialized and parsed again without a difference.
 
 #include "Fuzz.h"
 
--- a/tests/fuzz/settings.cpp
+++ b/tests/fuzz/settings.cpp
@@ -1,4 +1,4 @@
-// Settings files: refused with findings, or read whole.
+// Settings files: either rejected with findings, or read completely.
 
 #include "Fuzz.h"
 
