--- a/bench/CoreBench.cpp
+++ b/bench/CoreBench.cpp
@@ -1,4 +1,4 @@
-// Measures what a core costs: decisions, matching, memory, messages.
+// Measures the costs of the core: decisions, rule matching, memory, messages.
 //
 //   build/bench-core            all figures, one "name value unit" a line
 //   build/bench-core --json     for tools/capacity
@@ -30,7 +30,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int Rounds = 7;
-constexpr uint32_t FeedsIp = 0x0a010001;
+constexpr uint32_t RecordsIp = 0x0a010001;
 constexpr Time Start{std::chrono::seconds(1000)};
 
 struct Figure {
@@ -46,15 +46,16 @@
   std::fprintf(stderr, "%-40s %12.1f %s\n", name.c_str(), value, unit.c_str());
 }
 
-/// Median nanoseconds of one call out of `count`.
+/// Returns the time per call in nanoseconds: the median over rounds of `count`
+/// calls each.
 double nanoseconds(size_t count, const std::function<void(size_t)> &call) {
   std::vector<double> times;
   for (int round = 0; round < Rounds; ++round) {
     Clock::time_point begin = Clock::now();
     for (size_t i = 0; i < count; ++i)
       call(i);
-    std::chrono::duration<double, std::nano> spent = Clock::now() - begin;
-    times.push_back(spent.count() / static_cast<double>(count));
+    std::chrono::duration<double, std::nano> elapsed = Clock::now() - begin;
+    times.push_back(elapsed.count() / static_cast<double>(count));
   }
   std::sort(times.begin(), times.end());
   return times[times.size() / 2];
@@ -63,7 +64,7 @@
 FlowKey flow(uint32_t n) {
   return {.Source = {.Ip = 0x0ac80000 + n / 60000,
                      .Port = static_cast<uint16_t>(n % 60000)},
-          .Destination = {.Ip = FeedsIp, .Port = 443},
+          .Destination = {.Ip = RecordsIp, .Port = 443},
           .Protocol = 17};
 }
 
@@ -90,7 +91,7 @@
     for (Prefix &prefix : it.Destinations)
       prefix.Ip &= prefixMask(prefix.Length);
   out.Rules.push_back({.Name = "last",
-                       .Destinations = {{.Ip = FeedsIp, .Length = 32}},
+                       .Destinations = {{.Ip = RecordsIp, .Length = 32}},
                        .Service = service.Id});
   return out;
 }
@@ -103,7 +104,7 @@
   return out;
 }
 
-/// A core that is live and alone.
+/// Returns a live core of a deployment with one instance.
 Core liveCore(uint32_t flows, uint32_t rules) {
   CoreOptions options{.Self = {.Id = InstanceId{1}}};
   options.Flows.MaxFlows = flows + 10;
@@ -127,9 +128,9 @@
                   actions);
       actions.clear();
     }
-    std::chrono::duration<double, std::nano> spent = Clock::now() - begin;
+    std::chrono::duration<double, std::nano> elapsed = Clock::now() - begin;
     std::string suffix = "_" + std::to_string(flows);
-    report("open_ns" + suffix, spent.count() / flows, "ns");
+    report("open_ns" + suffix, elapsed.count() / flows, "ns");
     std::mt19937 random(1);
     std::vector<Event> events;
     events.reserve(10'000);
@@ -163,8 +164,8 @@
     std::string suffix = "_" + std::to_string(count);
     Clock::time_point begin = Clock::now();
     RuleMatcher matcher(rules.Rules);
-    std::chrono::duration<double, std::micro> spent = Clock::now() - begin;
-    report("compile_us" + suffix, spent.count(), "us");
+    std::chrono::duration<double, std::micro> elapsed = Clock::now() - begin;
+    report("compile_us" + suffix, elapsed.count(), "us");
     size_t found = 0;
     report("match_ns" + suffix,
            nanoseconds(100'000,
@@ -193,7 +194,7 @@
   }
 }
 
-/// Heap bytes that a compiled rule set takes.
+/// Returns the heap bytes that a compiled rule set takes.
 double compiledBytes(uint32_t rules, uint32_t targets) {
   size_t before = ::mallinfo2().uordblks;
   auto compiled =
@@ -202,7 +203,7 @@
   return static_cast<double>(after - before);
 }
 
-/// Heap bytes that remain of it once it is in the past.
+/// Returns the heap bytes that are kept of a rule set after its replacement.
 double pastBytes(uint32_t rules, uint32_t targets) {
   CompiledRules compiled(ruleSet(rules, targets));
   size_t before = ::mallinfo2().uordblks;
@@ -268,7 +269,7 @@
 }
 
 void measureControl() {
-  // Length, code and frame head come on top of the message itself.
+  // Each message also carries a length, a message code and a frame header.
   constexpr double Framing = 4 + MessageMacBytes + 9;
   PeerKey key("a key for measurements");
   for (uint32_t group : {7U, 14U, 28U}) {
@@ -354,7 +355,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  CLI::App app("Measures what a core costs.");
+  CLI::App app("Measures the costs of the core.");
   bool json = false;
   app.add_flag("--json", json, "Print one JSON object");
   CLI11_PARSE(app, argc, argv);
--- a/tests/RequestPathTest.cpp
+++ b/tests/RequestPathTest.cpp
@@ -342,7 +342,7 @@
       deployment.Targets[samples::target(n)].Stopped = true;
     // Three of four targets are silent.
     for (uint32_t i = 0; i < 4; ++i)
-      deployment.request(flow(i, samples::DocumentsIp), i, true, Deadline);
+      deployment.request(flow(i, samples::CertificatesIp), i, true, Deadline);
     deployment.run(3s);
     expectTrue(countAnswered(deployment) >= 3,
                "at least three of four are answered");
--- a/tests/TokenCoreTest.cpp
+++ b/tests/TokenCoreTest.cpp
@@ -383,7 +383,7 @@
       instance.packet(last);
     }
     expectTrue(atReturned <= Flows / 5,
-               "a fifth at most: " + shown(atReturned));
+               "a fifth at most: " + toText(atReturned));
   }
 
   // Guards against two seconds without service after a restart of all
--- a/tests/WarmUpTest.cpp
+++ b/tests/WarmUpTest.cpp
@@ -77,7 +77,7 @@
     Instance instance = settledInstance(1, {peer(1)}, 4);
     instance.handle(BackendsLearned{.Present = {coldServer(1), server(2)}});
     size_t n = flowsOpenedAt(instance, 1, 200, 5ms);
-    expectTrue(n >= 3 && n <= 5, "about four a second: " + shown(n));
+    expectTrue(n >= 3 && n <= 5, "about four a second: " + toText(n));
     section("until it is warm", [&] {
       instance.Now += 1s;
       expectTrue(flowsOpenedAt(instance, 1, 100, 5ms) > 20,
