--- a/include/chicorybank/edge/Compression.h
+++ b/include/chicorybank/edge/Compression.h
@@ -1,8 +1,10 @@
 // Compresses messages between instances.
 //
-// Registrations are JSON of about 250 bytes that differ in a few bytes. A tree
+// Registrations are JSON values of about 250 bytes that differ in a few bytes;
+// as items of a list, with the key and in base64, they take about 400. A tree
 // of instances forwards hundreds of them each second, and whole configurations
-// when a route changes. Compressed, both fit into a few datagrams.
+// when a route changes. Compressed, both usually fit into a few datagrams;
+// otherwise they are read over TCP (`PeerMessages.h`).
 //
 //   std::string small = compress(large);
 //   auto back = decompress(small, large.size()); // *back == large
--- a/include/chicorybank/edge/Directory.h
+++ b/include/chicorybank/edge/Directory.h
@@ -1,10 +1,10 @@
 // A compact form of all registrations, for instances that start.
 //
-// Without it, if all instances start at once after a power loss, each reads
-// some 400 bytes of JSON for each registration, with the records of all
-// instances first. The registry's link is full for half a second; the symptom
-// is `start_call kind=list` with a late first byte, packets dropped as
-// `not_current`, and callers that wait for their next retransmission. A
+// Without it, if all instances start at once after a power loss, each lists all
+// items in key order: first the records of all instances, then some 400 bytes
+// of JSON for each registration. The registry's link is full for half a second;
+// the symptom is `start_call kind=list` with a late first byte, packets dropped
+// as `not_current`, and callers that wait for their next retransmission. A
 // registration takes some 13 bytes here, so that one answer holds what a start
 // needs.
 //
@@ -30,8 +30,8 @@
 /// One part of the directory.
 struct Directory {
   std::vector<token::Registration> Servers;
-  /// The number of registered instances: those that read the directory if all
-  /// of them start.
+  /// The number of registered instances, used to spread their reads if all of
+  /// them start at once.
   size_t Instances = 0;
 
   bool operator==(const Directory &) const = default;
--- a/include/chicorybank/edge/DirectoryWriter.h
+++ b/include/chicorybank/edge/DirectoryWriter.h
@@ -14,11 +14,10 @@
 /// State machine without I/O. At most one write is in progress.
 class DirectoryWriter {
 public:
-  /// The size of an entry.
+  /// The mean size of an encoded registration, to estimate the size of a write.
   static constexpr int64_t EntryBytes = 13;
   /// The highest rate at which parts are written. The watching instance reads
-  /// them back, and this is a hundredth of its link of 20 Mbit/s. 1,900
-  /// registrations are written once a second, 20,000 six times a minute.
+  /// them back, and this is a hundredth of its link of 20 Mbit/s.
   static constexpr int64_t BytesPerSecond = 25'000;
   /// A part with more registrations is not written, and starting instances
   /// list the registrations instead. Encoded in base64, a part has to fit into
--- a/include/chicorybank/edge/Edge.h
+++ b/include/chicorybank/edge/Edge.h
@@ -1,4 +1,5 @@
-// Runs an edge instance: the threads, sockets and signals around a token core.
+// Runs an edge instance: the threads, sockets and signals around the load
+// balancer's state machine (`token::Core`).
 
 #ifndef CHICORYBANK_EDGE_EDGE_H
 #define CHICORYBANK_EDGE_EDGE_H
@@ -19,8 +20,8 @@
 /// Serves until the planned stop that SIGTERM or SIGINT begins is complete.
 /// Returns an error if the instance can't start. Call it only once in a
 /// process: it sets the handlers of SIGTERM, SIGINT, SIGHUP and SIGPIPE.
-/// Applies changes of the file at `path` where a running instance can; an empty
-/// path stands for no file.
+/// Reads the file at `path` again when it has changed, or on SIGHUP, and
+/// applies the settings that need no restart. An empty path stands for no file.
 tl::expected<void, std::string> runEdge(EdgeSettings settings,
                                         const std::string &path,
                                         const RegistryDialect &dialect,
--- a/include/chicorybank/edge/FragmentAssembler.h
+++ b/include/chicorybank/edge/FragmentAssembler.h
@@ -2,7 +2,8 @@
 //
 // Datagrams may be lost, and may arrive in any order. A message that lacks a
 // fragment is dropped when the next one of its sender begins; a receiver that
-// needed it detects the gap by its revision and reads the data elsewhere.
+// needed it detects the gap by the revision of the next push, and reads the
+// data from that push's sender or the registry.
 
 #ifndef CHICORYBANK_EDGE_FRAGMENTASSEMBLER_H
 #define CHICORYBANK_EDGE_FRAGMENTASSEMBLER_H
@@ -20,7 +21,8 @@
 class FragmentAssembler {
 public:
   /// The most senders with an incomplete message. Updates come from one parent
-  /// in the tree and a few heads of zones; datagrams of more senders are stray.
+  /// in the tree and a few heads of zones. If there are more senders, the
+  /// message that was least recently added to is dropped.
   static constexpr size_t MaxSenders = 16;
 
   /// Adds a fragment. Returns the bytes of its message once it is complete.
--- a/include/chicorybank/edge/InstanceRegistrar.h
+++ b/include/chicorybank/edge/InstanceRegistrar.h
@@ -6,9 +6,10 @@
 // account for most calls. The record is read with `Freshness::MayBeStale`; if
 // the lease has ended since, its renewal shows that.
 //
-// A lease can end unnoticed: it expires while the process is suspended, or the
-// registry removes the record. Renewals then fail with 404, and the record is
-// missing from the local cache.
+// A record can end unnoticed. If the lease expires, as while the process is
+// suspended, renewals fail with 404. If the registry removes the record alone,
+// the lease lives and renewals succeed, but the record is missing from the
+// local cache.
 
 #ifndef CHICORYBANK_EDGE_INSTANCEREGISTRAR_H
 #define CHICORYBANK_EDGE_INSTANCEREGISTRAR_H
@@ -17,15 +18,16 @@
 
 namespace chicory::edge {
 
-/// Times of an instance registrar.
 struct RegistrarTimes {
-  /// The longest time for which an instance that has failed stays in the
-  /// propagation tree. Until then its children poll the registry themselves,
-  /// with one call each in two seconds.
+  /// The longest time for which an instance that has failed stays registered.
+  /// It stays in the propagation tree for `OutageGossip::LapsedRetention` more.
+  /// Until then, the first of its children to reach its staleness limit asks
+  /// the registry and pushes the answer to the others (`PropagationTree.h`).
   Duration LeaseDuration = std::chrono::seconds(12);
-  /// Three attempts may fail before the lease ends. Renewals are the calls that
-  /// an idle instance makes: those of 295 instances cost the registry as much
-  /// as 7 full calls a second.
+  /// Four attempts may fail before the lease ends if they fail immediately, two
+  /// if they time out after 1.5 s. Renewals are the calls that an idle instance
+  /// makes, so longer intervals cost the registry less: renewals of 295
+  /// instances cost as much as 7 other calls a second.
   Duration RenewInterval = std::chrono::milliseconds(4500);
   Duration RetryAfter = std::chrono::milliseconds(1500);
   /// The longest time until a written record is in the local cache.
@@ -52,10 +54,13 @@
   /// when its renewal is due; renewals of a large deployment are spread over
   /// time.
   void registryRestored() { MustReread = true; }
-  /// Returns the call that marks the record as that of a leaving instance. No
-  /// call follows, and the record ends with its lease. Until then, neighbours
-  /// that start learn which instance may be back soon (`OutageGossip.h`): in a
-  /// rolling restart, possibly no running instance has seen the stopped one.
+  /// Returns the last call, if one is needed; none follows. If the record is
+  /// written, the call marks it as that of a leaving instance, and the record
+  /// ends with its lease. Until then, instances of the same zone that start
+  /// learn which instance may be back soon (`OutageGossip.h`): in a rolling
+  /// restart, possibly no running instance has seen the stopped one. If the
+  /// record still has to be written, the call revokes the lease; without a
+  /// valid lease, there is no call.
   std::optional<RegistryCall> leave();
 
 private:
--- a/include/chicorybank/edge/OutageGossip.h
+++ b/include/chicorybank/edge/OutageGossip.h
@@ -3,9 +3,10 @@
 //
 // An instance that starts while the registry is unavailable, or in a zone that
 // is cut off from it, has no data and knows no other instance. It drops all
-// packets and logs `not_current` with `rules=0`. Its neighbours still have its
-// record, or the one that it left with, and all the data that it needs. So they
-// keep sending it pushes, and it reads the data from one of the senders.
+// packets and logs `not_current` with `rules=0`. The other instances of its
+// zone, its neighbours, still have its current record, or its last one, marked
+// as leaving, and all the data that it needs. So they keep sending it pushes,
+// and it reads the data from one of the senders.
 //
 // In a rolling restart, the only instances left may be ones that are about to
 // stop, or that have only data of a neighbour. They send pushes as well.
@@ -32,20 +33,21 @@
   /// of them may have been killed and restarted.
   static constexpr Duration Interval = std::chrono::milliseconds(700);
   /// Instances that have left are few, and each may start at any moment; its
-  /// packets wait for 200 ms before they are dropped. The data of all
-  /// neighbours goes stale at the same moment, so that their pushes don't fill
-  /// the gaps between each other.
+  /// packets wait for 200 ms before they are dropped. All senders start their
+  /// intervals at the same moment, when their data goes stale, so a receiver
+  /// gets their pushes together, once an interval.
   static constexpr Duration FormerInterval = std::chrono::milliseconds(200);
   /// An instance that has left may be back at its address within this time, as
   /// in a rolling restart.
   static constexpr Duration FormerRetention = std::chrono::seconds(30);
   /// An instance whose record has lapsed stays in the propagation tree for this
-  /// long: a registry often refuses it for the duration of a lease.
+  /// long: if the registry refuses its calls for the duration of a lease, its
+  /// record lapses although it is running.
   static constexpr Duration LapsedRetention = std::chrono::seconds(12);
 
-  /// The mean number of instances of its own zone that send to an instance at a
-  /// time. If half of them have failed with it, the first or second time still
-  /// reaches it.
+  /// The mean number of instances in its own zone that send to an instance in
+  /// each round. If half of them have failed with it, the first or second round
+  /// still reaches it.
   static constexpr double SendersInZone = 4;
   /// The mean number of senders in other zones, in case its whole zone has
   /// failed.
@@ -60,8 +62,7 @@
   /// Returns the registered instances that are due for a push. `stale`: the
   /// registry is unavailable.
   std::vector<Address> dueRegistered(bool stale, Time now);
-  /// Returns the instances due for a push that have left, or are leaving, and
-  /// may be back.
+  /// Returns the former and leaving instances that are due for a push.
   std::vector<Address> dueFormer(bool stale, Time now);
   /// Returns when the next push is due.
   Time nextAt(bool stale) const;
@@ -84,11 +85,13 @@
   InstanceId Self;
   std::string Zone;
   std::map<InstanceId, PeerRecord> Registered;
-  /// How many of these are other instances of this zone, or in other zones.
+  /// The number of other registered instances in this zone.
   size_t Neighbours = 0;
+  /// The number of all other registered instances. It includes this one if it
+  /// is registered.
   size_t Elsewhere = 0;
   std::map<InstanceId, FormerPeer> Former;
-  /// Counts the times at which pushes were due.
+  /// Counts the rounds: the times at which pushes were due.
   uint64_t Round = 0;
   Time DueAt;
   Time FormerDueAt;
--- a/include/chicorybank/edge/PeerMessages.h
+++ b/include/chicorybank/edge/PeerMessages.h
@@ -22,14 +22,15 @@
 /// Sends changes of the registry, and their age, from one instance to others.
 struct UpdatePush {
   InstanceId Sender;
-  /// The time since an instance last asked the registry.
+  /// The time since the sender's cache was known to be current, at most an
+  /// hour.
   Duration Age = Duration::zero();
   /// `Page` holds the changes after this position, up to `Page.At`.
   Position Base;
   ItemPage Page;
   /// The checksum of all items at `Page.At`.
   uint64_t Digest = 0;
-  /// False if the changes did not fit and have to be read from the sender.
+  /// False if the items are left out and have to be read from the sender.
   bool Complete = true;
 };
 
@@ -51,17 +52,18 @@
 
 using PeerMessage = std::variant<UpdatePush, Fragment, UnreachableReport>;
 
-/// A message of up to this size is one datagram on any link.
+/// A message of up to this size is not fragmented by IP at an MTU of 1280 bytes
+/// or more.
 inline constexpr size_t MaxDatagramBytes = 1200;
 /// Bytes of a push in one fragment; its header takes the rest of the datagram.
 inline constexpr size_t FragmentBytes = 1150;
 /// A push of more fragments is read over TCP, since losing one loses them all.
 inline constexpr size_t MaxFragments = 16;
-/// A push of several fragments that takes more datagrams in total for all its
-/// receivers is read over TCP, too. The datagrams are sent at once, and a link
-/// drops what it has no room for; this many take 30 ms on a link of 20 Mbit/s.
-/// Without this limit, all receivers miss the last fragments, and none learns
-/// of the update.
+/// A push of several fragments is read over TCP, too, if their number times
+/// that of the receivers exceeds this. The datagrams are sent at once, and a
+/// link drops what it has no room for; this many take 30 ms on a link of 20
+/// Mbit/s. Without this limit, all receivers miss the last fragments, and none
+/// learns of the update.
 inline constexpr size_t MaxBurstDatagrams = 64;
 /// A push of more bytes before compression is read over TCP, too.
 inline constexpr size_t MaxPushBytes = 512 << 10;
--- a/include/chicorybank/edge/Position.h
+++ b/include/chicorybank/edge/Position.h
@@ -17,7 +17,7 @@
 
 namespace chicory::edge {
 
-/// Counts how often the registry was restored.
+/// Increases with each restore of the registry.
 struct Generation {
   uint64_t Value = 0;
 
--- a/include/chicorybank/edge/PropagationTree.h
+++ b/include/chicorybank/edge/PropagationTree.h
@@ -9,14 +9,15 @@
 // to the heads of each zone, the first ones in its order. From there it goes
 // down a tree in which each instance forwards it to a few others.
 //
-// An instance that does not see its own record yet has no rank and uses the
-// staleness limit of the last one. Otherwise each of hundreds of instances that
-// start at once would take itself for the first, and ask for changes twice a
-// second until it knew better.
+// An instance that does not see its own record yet has no rank and uses a
+// random staleness limit, no shorter than that of rank 4 in its zone.
+// Otherwise each of hundreds of instances that start at once would take itself
+// for the first, and ask for changes twice a second until it saw its record.
 //
 // While the registry is unavailable, all records lapse at once. An instance
 // whose own record is missing keeps the last known order until its record is
-// back, which takes a renewal; most of the other instances are still running.
+// back, which takes a new lease and a write; most of the other instances are
+// still running.
 //
 // If the first instance fails, is cut off or is refused by the registry, no
 // push comes, and the next one asks when its staleness limit is reached. If an
--- a/include/chicorybank/edge/Registry.h
+++ b/include/chicorybank/edge/Registry.h
@@ -39,8 +39,8 @@
   /// its own.
   int64_t Lease = 0;
   /// From a read that may be stale, even from before a restore: its position
-  /// may be later than that of the current item. An item from any other read is
-  /// newer.
+  /// can't be compared with that of an item from a current read. Any such item
+  /// supersedes it.
   bool MayBeStale = false;
 
   bool operator==(const Item &) const = default;
@@ -72,7 +72,6 @@
   }
 };
 
-/// A backend server's registration has ended.
 struct RegistrationEnded {
   token::BackendId Id;
 };
@@ -86,7 +85,8 @@
 struct PeerRecord {
   InstanceId Id;
   std::string Zone;
-  /// For messages between instances (UDP) and for registry updates (HTTP).
+  /// Receives UDP messages of other instances, and their HTTP requests on the
+  /// same port number.
   Address PeerAddress;
   /// The instance is stopping as planned and may be back within seconds.
   bool Leaving = false;
@@ -96,9 +96,9 @@
   bool operator==(const PeerRecord &) const = default;
 };
 
-/// The maximum number of items that hold the history of route targets. A change
-/// rewrites one of them, about 12 kB at 5,700 addresses. One transaction has
-/// room for this many writes with their conditions.
+/// The maximum number of items that hold the history of route targets: one
+/// transaction has room for this many writes with their conditions. With more
+/// items, a change rewrites less: one item, about 12 kB at 5,700 addresses.
 inline constexpr uint32_t MaxRouteHistoryParts = 16;
 
 /// One part of that history (`RouteHistory.h`).
@@ -139,7 +139,7 @@
 };
 
 /// The parsed content of an item; `monostate` if the item doesn't concern an
-/// instance.
+/// instance or, for some kinds, can't be parsed.
 using ItemContent =
     std::variant<std::monostate, token::RouteSet, token::Registration,
                  RegistrationEnded, RegistrationUnreadable, PeerRecord,
@@ -168,8 +168,8 @@
 enum class Freshness : uint8_t {
   /// Holds everything that was written before the call.
   Current,
-  /// May be seconds old, and costs the registry a tenth. It proves nothing
-  /// about the present contents.
+  /// May be seconds old, and costs the registry a tenth of a current read. It
+  /// proves nothing about the present contents.
   MayBeStale,
 };
 
--- a/include/chicorybank/edge/RegistryCache.h
+++ b/include/chicorybank/edge/RegistryCache.h
@@ -39,11 +39,12 @@
 public:
   explicit RegistryCache(const RegistryDialect &dialect) : Dialect(dialect) {}
 
-  /// Applies changes that lead to a revision, and returns those that matter.
-  /// Items older than the cached ones are ignored, whatever their source.
+  /// Applies changes that lead to a revision, and returns them without renewals
+  /// that change only a counter. Items older than the cached ones are ignored,
+  /// whatever their source.
   std::vector<Change> apply(const ItemPage &page, Findings &findings);
   /// Replaces the contents by all items as of a revision; items that are
-  /// missing have ended.
+  /// missing have ended, or are retained after a restore.
   std::vector<Change> replaceAll(const ItemPage &page, Findings &findings);
 
   /// Applies a page of the first list before the rest of it arrives, and
@@ -68,8 +69,8 @@
   const token::RouteSet *routes() const;
   Position position() const { return At; }
   size_t retainedCount() const { return RetainedCount; }
-  /// Ends the items of a kind that are still retained when the time for writing
-  /// them again is over, and returns these changes.
+  /// Ends all retained items of a kind, and returns these changes. Call it when
+  /// the time for writing them again is over.
   std::vector<Change> expireRetained(RetainedItems kind, Findings &findings);
   /// Forgets the positions of all items, once they turn out not to be of the
   /// registry's present history. The items stay in use until the whole list
--- a/include/chicorybank/edge/RegistryWatcher.h
+++ b/include/chicorybank/edge/RegistryWatcher.h
@@ -14,11 +14,11 @@
 //   one go would delay the updates of all instances for seconds.
 // - A connection that stops responding ends by its timeout.
 // - The first list may be stale if there was a directory to start with: it
-//   costs the registry a tenth and proves nothing. A current list, or a push
-//   with the same checksum, has to follow before the cache counts as current
-//   and is passed on. While that list waits for its time, everything is read
-//   from the first instance that pushes its updates, so that few lists serve
-//   all instances that start.
+//   costs the registry a tenth of a current one and proves nothing. A current
+//   list, or a push with the same checksum, has to follow before the cache
+//   counts as current and is passed on. While that list waits for its time,
+//   everything is read from the first instance that pushes its updates, so that
+//   few lists serve all instances that start.
 // - The registry may be restored from a backup (`Position.h`). Its answers
 //   state the generation. Content of a later generation than the cache's is
 //   accepted only from a whole list whose pages are all of one generation. If
@@ -42,11 +42,11 @@
 
 namespace chicory::edge {
 
-/// Times of a registry watcher.
 struct WatcherTimes {
-  /// Between two calls of the instance that watches, and how long a watch
-  /// waits: the staleness that caches reach. A change and its propagation have
-  /// to fit several times into the time in which the change must be in force.
+  /// The interval between two calls of the instance that watches, and the
+  /// longest wait of a watch. Caches become about this old. A change and its
+  /// propagation have to fit several times into the time in which the change
+  /// must be in force.
   Duration PollInterval = std::chrono::milliseconds(500);
   /// Timeout of a call; a registry that is a hundred times slower than usual
   /// answers in 400 ms.
@@ -61,24 +61,24 @@
   /// current; no instance waits as long while the registry and the other
   /// instances respond.
   Duration StaleAfter = std::chrono::milliseconds(1500);
-  /// The minimum between two lists that differing checksums cause.
+  /// The minimum time from any list to one that differing checksums cause.
   Duration RelistMin = std::chrono::milliseconds(1000);
   /// The instance that watches lists everything this often.
   Duration RelistEvery = std::chrono::seconds(8);
-  /// What a restored registry lacks is retained for this long after the first
-  /// list, until its writers have written it again. Servers write about once a
-  /// second.
+  /// What a restored registry lacks is retained for this long after the last
+  /// list that added to the retained items, until its writers have written it
+  /// again. Servers write about once a second.
   Duration RetainRegistrationsFor = std::chrono::seconds(3);
   /// Instances write with their next renewal.
   Duration RetainInstancesFor = std::chrono::seconds(6);
-  /// Operators write by then at the latest. Once they have written anything,
-  /// the rest follows soon: if they ended a drain across the restore, the
-  /// registry holds no trace of its end.
+  /// Operators write by then at the latest.
   Duration RetainOperatorSettingsFor = std::chrono::seconds(6);
+  /// Once the operators have written anything, the rest follows within this
+  /// time, and retained drains end then. If the operators ended a drain across
+  /// the restore, the registry holds no trace of its end.
   Duration OperatorSettingsFollowWithin = std::chrono::seconds(2);
 };
 
-/// Counters of a registry watcher.
 struct WatcherStats {
   uint64_t Calls = 0;
   uint64_t Lists = 0;
@@ -118,7 +118,6 @@
 /// The state machine; it does no I/O. At most one call is in flight.
 class RegistryWatcher {
 public:
-  /// `zone` is the instance's availability zone.
   RegistryWatcher(const RegistryDialect &dialect, WatcherTimes times,
                   uint64_t seed, std::string zone);
 
@@ -142,7 +141,8 @@
   /// as the push was.
   bool applyPush(const UpdatePush &push, bool late, Time now,
                  std::vector<token::Event> &out);
-  /// The cache may be passed on to other instances.
+  /// False while the cache is from a read that may be stale and nothing current
+  /// has confirmed it.
   bool mayPassOn() const { return !Unconfirmed; }
   /// Takes what was read from another instance.
   void applyPull(const ItemPage &page, bool whole, Time now,
@@ -182,7 +182,7 @@
   bool complete() const { return Complete; }
   /// All items are known, from the registry or from another instance.
   bool hasAllItems() const { return Complete || Seeded; }
-  /// The cache is older than it ever is while the registry answers.
+  /// The cache has not been known to be current for longer than `StaleAfter`.
   bool isStale(Time now) const { return now - CurrentAt > Times.StaleAfter; }
   Time currentAt() const { return CurrentAt; }
   const RegistryCache &cache() const { return Cache; }
@@ -246,7 +246,7 @@
   /// Takes all items as of a position, and detects a restore.
   void replaceCache(const ItemPage &page, Time now,
                     std::vector<token::Event> &out);
-  /// Ends retained items whose time for being written again is over at `at`.
+  /// Ends the retained items that had to be written again before `at`.
   void expireRetained(Time at, std::vector<token::Event> &out);
 
   WatcherTimes Times;
@@ -261,27 +261,30 @@
   bool Complete = false;
   /// All items are known, though not from the registry.
   bool Seeded = false;
-  /// Everything is being listed between watches, and whether one of its pages
-  /// comes before the next watch.
+  /// Everything is being listed, a page at a time between watches.
   bool Relisting = false;
+  /// While relisting, the next call is for a page, not a watch.
   bool PageBeforeWatch = false;
   /// The last call was for a page of a list.
   bool LastCallWasList = false;
   Duration StalenessLimit;
   Duration RetryMax;
   Duration Retry;
-  /// There are changes that no other instance could provide.
+  /// A pull failed: the registry is called without waiting for the staleness
+  /// limit.
   bool CallNow = false;
-  /// The back-off allows no call before this time.
+  /// No call is made before this time.
   Time DueAt;
   Time SentAt;
+  /// When the last call that can prove the cache current was sent: a watch, or
+  /// a page of a current list that does not alternate with watches.
   Time WatchedAt;
   Time LastList;
   /// The cache is known to be current as of this time.
   Time CurrentAt = Time{} - std::chrono::hours(1);
-  /// A list in several pages: the key after which it continues, and the items
-  /// so far.
+  /// The key after which a list in several pages continues.
   std::string After;
+  /// The items of that list so far.
   ItemPage Pages;
   Time ListStartedAt;
   /// The cache's position at that time.
@@ -310,7 +313,8 @@
   /// When a list last lacked items that the cache then retained.
   Time RetainedSince;
   Time RetainOperatorSettingsUntil;
-  /// The operators have written since then.
+  /// The operators have written since the last `replaceCache` or
+  /// `expireRetained`.
   bool OperatorsHaveWritten = false;
   Findings Faults;
   WatcherStats Stats;
--- a/include/chicorybank/edge/RouteHistory.h
+++ b/include/chicorybank/edge/RouteHistory.h
@@ -1,24 +1,25 @@
-// The services that each route leads to and has led to, as recorded in the
+// The services that each route leads to and has led to, as stored in the
 // registry.
 //
-// Without this record, flows break when instances restart after a route has
+// Without this history, flows break when instances restart after a route has
 // moved. An operator moves a route to another service, and open flows stay with
 // the old one. Then instances restart, one by one or all at once. A new process
 // has only ever read the new version, so it takes the tokens of the old flows
 // for forged ones and drops their packets. The logs show `foreign_token` after
 // restarts, and callers wait until their deadlines.
 //
-// The record holds pairs of an address and a service. A pair of the routes in
-// force is written soon after it came into force, well before it can be
-// removed. So a starting instance learns from the record alone what a version
-// that it has never seen led to, even if all processes ended at that very
-// change. The record has no times: each instance measures the age of a removed
-// pair from when it first saw it missing from the routes. So neither clock
-// differences nor the order of late writes matter.
+// The stored history holds pairs of an address and a service. A pair of the
+// routes in force is written soon after it came into force, well before it can
+// be removed. So a starting instance learns from the history alone what a
+// version that it has never seen led to, even if all processes ended at that
+// very change. The stored history has no times: each instance measures the age
+// of a removed pair from when it first saw it missing from the routes. So
+// neither clock differences nor the order of late writes matter.
 //
 //   RouteHistory history;
 //   history.learn(routes, now);
-//   history.learn(reader.routeHistory(), maxFlowAge, now);
+//   const RouteHistoryParts &stored = watcher.routeHistory();
+//   history.learn(stored, maxFlowAge, now);
 //   auto parts = history.incompleteParts(stored, maxFlowAge, now);
 
 #ifndef CHICORYBANK_EDGE_ROUTEHISTORY_H
@@ -33,21 +34,21 @@
 
 namespace chicory::edge {
 
-/// Computes what the record has to hold. It does no I/O.
+/// Computes what the stored history has to hold. It does no I/O.
 class RouteHistory {
 public:
   /// The most former services kept for one address; the latest are kept. This
   /// bounds a part to about 60 kB if routes move all day and flows last for
-  /// hours. An address that moves more often loses its oldest flows at a
-  /// restart.
+  /// hours. An address whose route moves more often loses its oldest flows
+  /// at a restart.
   static constexpr size_t MaxFormerServices = 8;
 
   /// Takes the routes of a version that came into force, and ignores an older
   /// version.
   void learn(const token::RouteSet &routes, Time now);
-  /// Takes the stored record, which may hold pairs that this instance does not
+  /// Takes the stored history, which may hold pairs that this instance does not
   /// know. A pair that was removed longer ago than `maxFlowAge`, the longest
-  /// life of a flow, is forgotten once it is out of the record.
+  /// life of a flow, is forgotten once it is out of the stored history.
   void learn(const RouteHistoryParts &stored, Duration maxFlowAge, Time now);
   /// Returns the parts that lack a pair, with all pairs that they should hold
   /// and the revision of their stored item. A surplus pair alone does not make
@@ -56,9 +57,9 @@
                                                 Duration maxFlowAge,
                                                 Time now) const;
 
-  /// Returns the number of parts for this number of addresses. Every starting
-  /// instance has to read each part, so there are more parts only if one would
-  /// be large.
+  /// Returns the number of parts for this number of addresses. It is kept
+  /// low, since every starting instance reads all parts; there are more only to
+  /// bound the size of each.
   static uint32_t partCount(size_t addresses);
   /// Returns which of the parts holds an address.
   static uint32_t partOf(Address where, uint32_t parts);
--- a/include/chicorybank/edge/RouteHistoryWriter.h
+++ b/include/chicorybank/edge/RouteHistoryWriter.h
@@ -1,8 +1,9 @@
-// Decides when this instance writes the record of routes, and which parts.
+// Decides when this instance writes the route history, and which parts.
 //
-// Each instance computes the record (`RouteHistory.h`); `StaggeredWrite`
-// decides which one writes, and when. With a longer delay than there, a route
-// that exists for seconds would stay unrecorded if all processes ended with it.
+// Each instance computes what the stored history has to hold
+// (`RouteHistory.h`); `StaggeredWrite` decides which one writes, and when. With
+// a longer delay than that of `StaggeredWriteTimes`, a route that exists for
+// seconds would not be stored if all processes ended with it.
 
 #ifndef CHICORYBANK_EDGE_ROUTEHISTORYWRITER_H
 #define CHICORYBANK_EDGE_ROUTEHISTORYWRITER_H
@@ -25,8 +26,8 @@
   void learn(const token::RouteSet &routes, Time now) {
     History.learn(routes, now);
   }
-  /// Takes the stored record. Call it after each new version, and after each
-  /// change of the record.
+  /// Takes the stored history. Call it after each new version, and after each
+  /// change of the stored history.
   void learn(const RouteHistoryParts &stored, Duration maxFlowAge, Time now);
 
   /// Returns the call that is due, if any. Call it only while everything has
--- a/include/chicorybank/edge/Settings.h
+++ b/include/chicorybank/edge/Settings.h
@@ -14,7 +14,6 @@
 
 namespace chicory::edge {
 
-/// All settings of an edge instance.
 struct EdgeSettings {
   std::string Name;
   std::string Zone;
--- a/include/chicorybank/edge/StaggeredWrite.h
+++ b/include/chicorybank/edge/StaggeredWrite.h
@@ -17,19 +17,16 @@
 
 namespace chicory::edge {
 
-/// Delays of a staggered write.
 struct StaggeredWriteTimes {
   /// The part of the delay that all instances have in common. Changes come in
   /// bursts of several a second, and a write for each would be wasted.
   Duration SettleTime = std::chrono::seconds(1);
   /// Each instance waits in addition for its staleness limit times this factor.
   int StalenessLimitFactor = 2;
-  /// The delay before a failed write is retried, and before a refused one is
-  /// once the cache has changed.
+  /// The minimum time between the answer to a write and the next write.
   Duration RetryAfter = std::chrono::seconds(2);
 };
 
-/// Counters of writes.
 struct WriteStats {
   uint64_t Written = 0;
   /// Another instance had written before.
--- a/include/chicorybank/edge/StartupReads.h
+++ b/include/chicorybank/edge/StartupReads.h
@@ -19,7 +19,7 @@
 //
 // The list of everything follows later, by up to `ListDelayPerServer` for each
 // server, so that lists leave the registry's link to instances that start. An
-// instance that has listed by then serves the others.
+// instance that has listed earlier passes the items on to the others.
 
 #ifndef CHICORYBANK_EDGE_STARTUPREADS_H
 #define CHICORYBANK_EDGE_STARTUPREADS_H
@@ -33,33 +33,34 @@
 /// The state machine; it does no I/O.
 class StartupReads {
 public:
-  /// For each server that the directory names. A list of 400 bytes a server
-  /// takes a tenth of that on a link of 20 Mbit/s, and passing it on in a tree
-  /// of three levels takes half.
+  /// The longest delay of the first list, for each server that the directory
+  /// names. A list takes a tenth of this time on a link of 20 Mbit/s, at 400
+  /// bytes a server, and passing it on in a tree of three levels half of it.
   static constexpr Duration ListDelayPerServer =
       std::chrono::microseconds(1500);
-  /// With a longer delay, an instance that gets no push would learn too late
+  /// The longest delay of the first list and of the directory's other parts.
+  /// With a longer one, an instance that gets no push would learn too late
   /// which servers have ended.
   static constexpr Duration ListDelayMax = std::chrono::seconds(20);
-  /// For each pair of an instance and a server of its own zone. 985 instances
-  /// with 2,000 servers in each of five zones read 172 MB of the other zones'
-  /// parts in two seconds: two thirds of a link of 1,000 Mbit/s.
+  /// The longest delay of the directory's other parts, for each pair of an
+  /// instance and a server of its own zone. It spreads the reads, so that they
+  /// leave a third of the registry's link of 1,000 Mbit/s: 985 instances with
+  /// 2,000 servers in each of five zones read 172 MB in two seconds.
   static constexpr std::chrono::nanoseconds OtherPartsDelayPerPair{1000};
   /// The expected number of instances that list without a delay and pass the
   /// list on. One may be cut off or slow, and each zone should have one.
   static constexpr size_t EarlyLists = 8;
 
-  /// `zone` is the instance's availability zone.
   StartupReads(const RegistryDialect &dialect, std::string zone)
       : Dialect(dialect), Zone(std::move(zone)) {}
 
-  /// Everything was read; the list comes next.
+  /// All startup reads are done; the first list comes next.
   bool done() const { return State == Step::Done; }
   /// Returns the next call.
   RegistryCall call() const;
-  /// Takes the answer to it, read in a generation of the registry; an empty
-  /// body means that there is no such key. Items go to the cache, and their
-  /// changes are appended. An error says what can't be parsed.
+  /// Takes the answer to `call`, and the registry's generation that it is of.
+  /// An empty body means that there is no such key. Items go to the cache, and
+  /// their changes are appended. An error says what can't be parsed.
   tl::expected<void, std::string> handleAnswer(const std::string &body,
                                                Generation generation,
                                                RegistryCache &cache,
@@ -109,7 +110,7 @@
   Step State = Step::Directory;
   /// The settings read so far, if they take several pages.
   ItemPage OperatorSettings;
-  /// The last part that was read of all parts of the directory.
+  /// The key of the last directory part read; a paged read continues after it.
   std::string LastPart;
   std::set<token::BackendId> DirectoryServers;
   size_t Instances = 0;
--- a/include/chicorybank/edge/UnreachableReportFilter.h
+++ b/include/chicorybank/edge/UnreachableReportFilter.h
@@ -21,9 +21,9 @@
   /// forwarded. Registrations of failed servers end within a few seconds; a
   /// server that is cut off may be reported several times.
   static constexpr Duration DeduplicationWindow = std::chrono::seconds(2);
-  /// The most reports that are forwarded within the window; others are dropped.
-  /// More servers than this don't fail at once, and a flood of made-up reports
-  /// must not be forwarded.
+  /// The most reports that are forwarded within the window, so that a flood of
+  /// forged reports does not spread. If more servers fail at once, the other
+  /// instances have to detect the rest by themselves.
   static constexpr size_t MaxReports = 256;
 
   /// Returns whether to forward a report of this server; remembers it if so.
