--- a/include/chicorybank/edge/InstanceRegistrar.h
+++ b/include/chicorybank/edge/InstanceRegistrar.h
@@ -43,7 +43,7 @@
 
   /// Returns the call that is due, if any.
   std::optional<RegistryCall> next(Time now);
-  Time nextAt() const { return Waiting ? Time::max() : DueAt; }
+  Time nextAt() const { return CallInFlight ? Time::max() : DueAt; }
   void answered(const RegistryAnswer &answer, Time now);
   /// Compares this instance's record in the local cache, or null if there is
   /// none, with what it should be. The cache holds everything up to `asOf`:
@@ -72,7 +72,8 @@
   PeerRecord Self;
   RegistrarTimes Times;
   Phase State = Phase::Reading;
-  bool Waiting = false;
+  /// Stays set after `leave`, so that no further call follows.
+  bool CallInFlight = false;
   bool MustReread = false;
   /// How current the read of the record has to be.
   Freshness RecordFreshness = Freshness::MayBeStale;
--- a/include/chicorybank/edge/OutageGossip.h
+++ b/include/chicorybank/edge/OutageGossip.h
@@ -59,13 +59,15 @@
 
   /// Takes the instances that are registered now.
   void learn(const std::map<InstanceId, PeerRecord> &peers, Time now);
-  /// Returns the registered instances that are due for a push. `stale`: the
-  /// registry is unavailable.
-  std::vector<Address> dueRegistered(bool stale, Time now);
-  /// Returns the former and leaving instances that are due for a push.
-  std::vector<Address> dueFormer(bool stale, Time now);
-  /// Returns when the next push is due.
-  Time nextAt(bool stale) const;
+  /// Returns the registered instances that are due for a push; none while the
+  /// registry is available.
+  std::vector<Address> dueRegistered(bool registryUnavailable, Time now);
+  /// Returns the former and leaving instances that are due for a push; none
+  /// while the registry is available.
+  std::vector<Address> dueFormer(bool registryUnavailable, Time now);
+  /// Returns when the next push is due; `Time::max()` while the registry is
+  /// available.
+  Time nextAt(bool registryUnavailable) const;
   const std::map<InstanceId, PeerRecord> &registered() const {
     return Registered;
   }
--- a/include/chicorybank/edge/RegistryWatcher.h
+++ b/include/chicorybank/edge/RegistryWatcher.h
@@ -91,7 +91,7 @@
   /// Pulls that read everything.
   uint64_t WholePulls = 0;
   /// Restores of the registry that were detected.
-  uint64_t Generations = 0;
+  uint64_t Restores = 0;
   /// Items that were retained after a restore and never written again.
   uint64_t RetainedExpired = 0;
   /// Pushes of another generation than the cache's, which prove nothing.
@@ -170,7 +170,7 @@
   void revalidate(Time now);
 
   /// Returns the errors in items since the last call.
-  Findings takeFindings() { return std::exchange(Faults, {}); }
+  Findings takeFindings() { return std::exchange(PendingFindings, {}); }
   const std::map<InstanceId, PeerRecord> &peers() const { return Peers; }
   /// Returns the history of route targets, by part.
   const RouteHistoryParts &routeHistory() const { return StoredRouteHistory; }
@@ -222,7 +222,8 @@
   void startList(Time at);
   /// The first list is due later and has not begun.
   bool firstListIsPending() const {
-    return !Complete && State == Phase::Listing && !Waiting && After.empty();
+    return !Complete && State == Phase::Listing && !CallInFlight &&
+           ListCursor.empty();
   }
   bool replacesFirstList(const UpdatePush &push) const;
   bool mustPull(const UpdatePush &push) const;
@@ -257,7 +258,7 @@
   StartupReads Start;
   /// Of the next list, or of the one in progress.
   Freshness ListFreshness = Freshness::Current;
-  bool Waiting = false;
+  bool CallInFlight = false;
   bool Complete = false;
   /// All items are known, though not from the registry.
   bool Seeded = false;
@@ -278,14 +279,14 @@
   Time SentAt;
   /// When the last call that can prove the cache current was sent: a watch, or
   /// a page of a current list that does not alternate with watches.
-  Time WatchedAt;
+  Time LastCurrentCallAt;
   Time LastList;
   /// The cache is known to be current as of this time.
   Time CurrentAt = Time{} - std::chrono::hours(1);
   /// The key after which a list in several pages continues.
-  std::string After;
+  std::string ListCursor;
   /// The items of that list so far.
-  ItemPage Pages;
+  ItemPage ListSoFar;
   Time ListStartedAt;
   /// The cache's position at that time.
   Position CacheAtListStart;
@@ -316,7 +317,7 @@
   /// The operators have written since the last `replaceCache` or
   /// `expireRetained`.
   bool OperatorsHaveWritten = false;
-  Findings Faults;
+  Findings PendingFindings;
   WatcherStats Stats;
 };
 
--- a/include/chicorybank/edge/RouteHistory.h
+++ b/include/chicorybank/edge/RouteHistory.h
@@ -62,7 +62,7 @@
   /// bound the size of each.
   static uint32_t partCount(size_t addresses);
   /// Returns which of the parts holds an address.
-  static uint32_t partOf(Address where, uint32_t parts);
+  static uint32_t partOf(Address address, uint32_t parts);
 
 private:
   struct Entry {
--- a/include/chicorybank/edge/StaggeredWrite.h
+++ b/include/chicorybank/edge/StaggeredWrite.h
@@ -46,7 +46,7 @@
   Time dueAt(Duration stalenessLimit) const;
   /// Notes that the write was sent.
   void begin() {
-    Waiting = true;
+    CallInFlight = true;
     StoredAtSend = StoredAt;
   }
   void answered(const RegistryAnswer &answer, Time now);
@@ -58,7 +58,7 @@
 private:
   StaggeredWriteTimes Times;
   bool Missing = false;
-  bool Waiting = false;
+  bool CallInFlight = false;
   /// The last write was refused, and the cache has not changed since.
   bool RefusedAsStale = false;
   Position StoredAt;
--- a/include/chicorybank/edge/StartupReads.h
+++ b/include/chicorybank/edge/StartupReads.h
@@ -41,7 +41,7 @@
   /// The longest delay of the first list and of the directory's other parts.
   /// With a longer one, an instance that gets no push would learn too late
   /// which servers have ended.
-  static constexpr Duration ListDelayMax = std::chrono::seconds(20);
+  static constexpr Duration DelayMax = std::chrono::seconds(20);
   /// The longest delay of the directory's other parts, for each pair of an
   /// instance and a server of its own zone. It spreads the reads, so that they
   /// leave a third of the registry's link of 1,000 Mbit/s: 985 instances with
@@ -111,7 +111,7 @@
   /// The settings read so far, if they take several pages.
   ItemPage OperatorSettings;
   /// The key of the last directory part read; a paged read continues after it.
-  std::string LastPart;
+  std::string LastPartKey;
   std::set<token::BackendId> DirectoryServers;
   size_t Instances = 0;
 };
--- a/lib/edge/InstanceRegistrar.cpp
+++ b/lib/edge/InstanceRegistrar.cpp
@@ -7,9 +7,9 @@
 namespace chicory::edge {
 
 std::optional<RegistryCall> InstanceRegistrar::next(Time now) {
-  if (Waiting || now < DueAt)
+  if (CallInFlight || now < DueAt)
     return std::nullopt;
-  Waiting = true;
+  CallInFlight = true;
   if (std::exchange(MustReread, false)) {
     // If a write was not answered, the record may have another's lease.
     bool written = State == Phase::Renewing || State == Phase::Reading;
@@ -31,7 +31,7 @@
 }
 
 void InstanceRegistrar::answered(const RegistryAnswer &answer, Time now) {
-  Waiting = false;
+  CallInFlight = false;
   DueAt = now + Times.RetryAfter;
   bool known = answer.Status == HttpOk || answer.Status == HttpNotFound;
   if (State == Phase::Reading && known) {
@@ -93,7 +93,7 @@
 }
 
 void InstanceRegistrar::checkRecord(const PeerRecord *own, Time asOf) {
-  if (Waiting || State != Phase::Renewing || (own && *own == Self) ||
+  if (CallInFlight || State != Phase::Renewing || (own && *own == Self) ||
       asOf - WrittenAt < Times.VisibleWithin)
     return;
   // A record that differs from what was written is that of the previous
@@ -103,7 +103,7 @@
 }
 
 std::optional<RegistryCall> InstanceRegistrar::leave() {
-  Waiting = true;
+  CallInFlight = true;
   if (State == Phase::CreatingLease || State == Phase::Reading || MustReread)
     return std::nullopt;
   if (State == Phase::Writing)
--- a/lib/edge/Metrics.cpp
+++ b/lib/edge/Metrics.cpp
@@ -63,7 +63,7 @@
   scalar(out, "chicory_bad_registry_answers_total", "counter",
          "Registry responses that can't be parsed", watcher.BadAnswers);
   scalar(out, "chicory_registry_generations_total", "counter",
-         "Detected restores of the registry", watcher.Generations);
+         "Detected restores of the registry", watcher.Restores);
   scalar(out, "chicory_registry_items_lost_total", "counter",
          "Items lost in a restore of the registry and not written again",
          watcher.RetainedExpired);
--- a/lib/edge/OutageGossip.cpp
+++ b/lib/edge/OutageGossip.cpp
@@ -47,9 +47,10 @@
   return static_cast<double>(hash) < share * std::ldexp(1.0, 64);
 }
 
-std::vector<Address> OutageGossip::dueRegistered(bool stale, Time now) {
+std::vector<Address> OutageGossip::dueRegistered(bool registryUnavailable,
+                                                 Time now) {
   std::vector<Address> out;
-  if (!stale || now < DueAt)
+  if (!registryUnavailable || now < DueAt)
     return out;
   DueAt = now + Interval;
   ++Round;
@@ -59,9 +60,10 @@
   return out;
 }
 
-std::vector<Address> OutageGossip::dueFormer(bool stale, Time now) {
+std::vector<Address> OutageGossip::dueFormer(bool registryUnavailable,
+                                             Time now) {
   std::vector<Address> out;
-  if (!stale || now < FormerDueAt)
+  if (!registryUnavailable || now < FormerDueAt)
     return out;
   FormerDueAt = now + FormerInterval;
   ++Round;
@@ -71,8 +73,8 @@
   return out;
 }
 
-Time OutageGossip::nextAt(bool stale) const {
-  if (!stale)
+Time OutageGossip::nextAt(bool registryUnavailable) const {
+  if (!registryUnavailable)
     return Time::max();
   return Former.empty() ? DueAt : std::min(DueAt, FormerDueAt);
 }
--- a/lib/edge/PeerUpdates.cpp
+++ b/lib/edge/PeerUpdates.cpp
@@ -38,7 +38,7 @@
     return behind;
   }
   if (behind)
-    appendEvents(Cache.apply(push.Page, Faults), out);
+    appendEvents(Cache.apply(push.Page, PendingFindings), out);
   bool agrees =
       push.Page.At == Cache.position() && push.Digest == Cache.digest();
   Unconfirmed = Unconfirmed && !agrees;
@@ -63,7 +63,8 @@
   if (!DiffersSince)
     DiffersSince = now;
   if (now - *DiffersSince < MaxDiffersIntervals * Times.PollInterval ||
-      Waiting || State != Phase::Watching || now - LastList < Times.RelistMin)
+      CallInFlight || State != Phase::Watching ||
+      now - LastList < Times.RelistMin)
     return;
   DiffersSince.reset();
   startList(std::max(DueAt, now));
@@ -92,7 +93,8 @@
 /// after an outage: `registry_calls` has lists of every instance, and the
 /// registry's link is saturated.
 bool RegistryWatcher::confirmsCache(const UpdatePush &push) const {
-  bool due = State == Phase::Listing && Complete && !Waiting && After.empty();
+  bool due = State == Phase::Listing && Complete && !CallInFlight &&
+             ListCursor.empty();
   return due && push.Age < Times.StaleAfter && generationIsCurrent() &&
          push.Page.At == Cache.position() && push.Digest == Cache.digest();
 }
@@ -109,7 +111,7 @@
     Unconfirmed = false;
     replaceCache(page, now, out);
   } else {
-    appendEvents(Cache.apply(page, Faults), out);
+    appendEvents(Cache.apply(page, PendingFindings), out);
   }
   if (!Complete)
     beginWatching(now, out);
@@ -124,7 +126,7 @@
                                 std::vector<token::Event> &out) {
   if (Complete || page.At <= Cache.position())
     return;
-  appendEvents(Cache.replaceAll(page, Faults), out);
+  appendEvents(Cache.replaceAll(page, PendingFindings), out);
   if (!std::exchange(Seeded, true))
     out.emplace_back(token::BackendsComplete{});
 }
--- a/lib/edge/RegistryWatcher.cpp
+++ b/lib/edge/RegistryWatcher.cpp
@@ -34,12 +34,12 @@
 }
 
 Time RegistryWatcher::nextAt() const {
-  if (Waiting)
+  if (CallInFlight)
     return Time::max();
   if (State == Phase::Starting || CallNow || listPageIsNext())
     return DueAt;
   if (watches())
-    return std::max(DueAt, WatchedAt + Times.PollInterval);
+    return std::max(DueAt, LastCurrentCallAt + Times.PollInterval);
   // After a list that may be stale, a push of the instance that watches is
   // about to arrive.
   return std::max(
@@ -51,7 +51,7 @@
     return std::nullopt;
   if (State == Phase::Watching && Unconfirmed)
     startList(now);
-  Waiting = true;
+  CallInFlight = true;
   LastCallWasList = listPageIsNext();
   CallNow = false;
   SentAt = now;
@@ -72,21 +72,21 @@
   bool provesCurrent =
       State == Phase::Listing && ListFreshness == Freshness::Current;
   if (!LastCallWasList || provesCurrent)
-    WatchedAt = now;
+    LastCurrentCallAt = now;
   if (!LastCallWasList)
     return Dialect.watch(Cache.position().Revision, Times.PollInterval);
-  if (After.empty()) {
+  if (ListCursor.empty()) {
     ListStartedAt = now;
     CacheAtListStart = Cache.position();
-    Pages = {};
+    ListSoFar = {};
   }
   ++Stats.Lists;
-  return Dialect.list(After, ListFreshness);
+  return Dialect.list(ListCursor, ListFreshness);
 }
 
 bool RegistryWatcher::answered(const RegistryAnswer &answer, Time now,
                                std::vector<token::Event> &out) {
-  Waiting = false;
+  CallInFlight = false;
   recordGeneration(answer);
   PageBeforeWatch = !LastCallWasList;
   if (State == Phase::Starting) {
@@ -105,7 +105,7 @@
   tl::expected<ItemPage, std::string> page = Dialect.parsePage(answer.Body);
   if (!page) {
     ++Stats.BadAnswers;
-    Faults.add({.File = "registry answer"}, page.error());
+    PendingFindings.add({.File = "registry answer"}, page.error());
     handleFailure(answer.Status, now);
     return false;
   }
@@ -147,7 +147,7 @@
   LatestGeneration = generation;
   // The instance that watches learns of it from its next answer and passes it
   // on; a list by every instance at once would overload the registry.
-  if (State == Phase::Watching && !Waiting)
+  if (State == Phase::Watching && !CallInFlight)
     startList(now + StalenessLimit);
 }
 
@@ -158,7 +158,7 @@
 /// Without a header the first list of a new history gets a generation of its
 /// own, so that other instances can distinguish the two histories.
 void RegistryWatcher::adoptRegistryHistory(ItemPage &list) {
-  ++Stats.Generations;
+  ++Stats.Restores;
   if (HasGenerationHeader) {
     LatestGeneration = list.At.Generation;
     return Cache.forgetPositions();
@@ -171,9 +171,9 @@
                                    std::vector<token::Event> &out) {
   if (Cache.position() != Position{} &&
       Cache.position().Generation < page.At.Generation)
-    ++Stats.Generations;
+    ++Stats.Restores;
   size_t retainedBefore = Cache.retainedCount();
-  appendEvents(Cache.replaceAll(page, Faults), out);
+  appendEvents(Cache.replaceAll(page, PendingFindings), out);
   if (Cache.retainedCount() > retainedBefore) {
     RetainedSince = now;
     RetainOperatorSettingsUntil = now + Times.RetainOperatorSettingsFor;
@@ -196,7 +196,7 @@
   for (const auto &[kind, until] : ends) {
     if (at < until)
       continue;
-    std::vector<Change> ended = Cache.expireRetained(kind, Faults);
+    std::vector<Change> ended = Cache.expireRetained(kind, PendingFindings);
     Stats.RetainedExpired += ended.size();
     appendEvents(std::move(ended), out);
   }
@@ -212,11 +212,11 @@
   std::vector<Change> changes;
   auto result =
       Start.handleAnswer(absent ? std::string() : answer.Body,
-                         generationOf(answer), Cache, Faults, changes);
+                         generationOf(answer), Cache, PendingFindings, changes);
   if (!result) {
     // The list that follows contains everything again.
     ++Stats.BadAnswers;
-    Faults.add({.File = "registry answer"}, result.error());
+    PendingFindings.add({.File = "registry answer"}, result.error());
   }
   // What another instance provided is as good as the directory.
   bool directory = !changes.empty() && changes.front().Source.Key.empty();
@@ -264,7 +264,7 @@
   State = Phase::Listing;
   ListFreshness = Freshness::Current;
   Relisting = false;
-  After.clear();
+  ListCursor.clear();
   DueAt = at;
 }
 
@@ -283,26 +283,27 @@
     page.markMayBeStale();
   // Pages are not a snapshot: the watch, which starts at the first page's
   // revision, reports changes between them.
-  if (After.empty())
-    Pages.At = page.At;
-  if (page.At.Generation != Pages.At.Generation) {
+  if (ListCursor.empty())
+    ListSoFar.At = page.At;
+  if (page.At.Generation != ListSoFar.At.Generation) {
     startList(now);
     return false;
   }
-  Pages.Items.insert(Pages.Items.end(), page.Items.begin(), page.Items.end());
+  ListSoFar.Items.insert(ListSoFar.Items.end(), page.Items.begin(),
+                         page.Items.end());
   if (page.More && !page.Items.empty()) {
-    After = page.Items.back().Key;
+    ListCursor = page.Items.back().Key;
     // The first list of a large deployment takes seconds if all instances
     // request it at once. What is known already serves callers meanwhile.
     if (!Complete)
-      appendEvents(Cache.applyPartial(page, Faults), out);
+      appendEvents(Cache.applyPartial(page, PendingFindings), out);
     return false;
   }
-  if (provesOtherHistory(Pages))
-    adoptRegistryHistory(Pages);
-  replaceCache(Pages, now, out);
+  if (provesOtherHistory(ListSoFar))
+    adoptRegistryHistory(ListSoFar);
+  replaceCache(ListSoFar, now, out);
   // A stale read from before a restore is no list of this generation.
-  if (Pages.At.Generation < Cache.position().Generation) {
+  if (ListSoFar.At.Generation < Cache.position().Generation) {
     startList(now);
     return false;
   }
@@ -323,8 +324,8 @@
   Complete = true;
   ListFreshness = Freshness::Current;
   LastList = now;
-  Pages = {};
-  After.clear();
+  ListSoFar = {};
+  ListCursor.clear();
   Relisting = false;
   State = Phase::Watching;
 }
@@ -349,7 +350,7 @@
   bool unchanged = page.Items.empty();
   bool skipped = unchanged && page.At > Cache.position();
   bool restored = page.At.Generation != Cache.position().Generation;
-  appendEvents(Cache.apply(page, Faults), out);
+  appendEvents(Cache.apply(page, PendingFindings), out);
   if (skipped || restored) {
     startList(now);
     return;
@@ -360,12 +361,12 @@
               out);
   bool relist = watches() && (Relisting || now - LastList >= Times.RelistEvery);
   if (!relist || !Relisting)
-    After.clear();
+    ListCursor.clear();
   Relisting = relist;
 }
 
 void RegistryWatcher::revalidate(Time now) {
-  if (!Waiting && State != Phase::Starting)
+  if (!CallInFlight && State != Phase::Starting)
     startList(now);
 }
 
@@ -406,7 +407,7 @@
         Peers[peer->Id] = *peer;
     }
   }
-  Stats.BadItems += Faults.items().size();
+  Stats.BadItems += PendingFindings.items().size();
   if (!servers.Present.empty() || !servers.Ended.empty() ||
       !servers.Unreadable.empty())
     out.emplace_back(std::move(servers));
--- a/lib/edge/RouteHistory.cpp
+++ b/lib/edge/RouteHistory.cpp
@@ -49,8 +49,8 @@
   return static_cast<uint32_t>(std::min<size_t>(parts, MaxRouteHistoryParts));
 }
 
-uint32_t RouteHistory::partOf(Address where, uint32_t parts) {
-  return static_cast<uint32_t>(mixHash(1, where.packed()) % parts);
+uint32_t RouteHistory::partOf(Address address, uint32_t parts) {
+  return static_cast<uint32_t>(mixHash(1, address.packed()) % parts);
 }
 
 void RouteHistory::learn(const token::RouteSet &routes, Time now) {
--- a/lib/edge/StaggeredWrite.cpp
+++ b/lib/edge/StaggeredWrite.cpp
@@ -18,14 +18,14 @@
 }
 
 Time StaggeredWrite::dueAt(Duration stalenessLimit) const {
-  if (Waiting || !Missing || RefusedAsStale)
+  if (CallInFlight || !Missing || RefusedAsStale)
     return Time::max();
   return std::max(NotBefore, MissingSince + Times.SettleTime +
                                  stalenessLimit * Times.StalenessLimitFactor);
 }
 
 void StaggeredWrite::answered(const RegistryAnswer &answer, Time now) {
-  Waiting = false;
+  CallInFlight = false;
   NotBefore = now + Times.RetryAfter;
   RefusedAsStale =
       answer.Status == HttpPreconditionFailed && StoredAt == StoredAtSend;
--- a/lib/edge/StartupReads.cpp
+++ b/lib/edge/StartupReads.cpp
@@ -15,7 +15,7 @@
   case Step::Directory:
     return Dialect.readDirectory(Zone);
   case Step::OtherDirectories:
-    return Dialect.readDirectories(LastPart);
+    return Dialect.readDirectories(LastPartKey);
   case Step::RouteHistory:
   case Step::Done:
     break;
@@ -111,7 +111,7 @@
     return tl::make_unexpected(page.error());
   tl::expected<void, std::string> result;
   for (const Item &it : page->Items) {
-    LastPart = it.Key;
+    LastPartKey = it.Key;
     if (auto one = addServers(it, out); !one)
       result = one;
   }
@@ -138,17 +138,16 @@
 }
 
 Duration StartupReads::callDelayMax() const {
-  if (State != Step::OtherDirectories || !LastPart.empty())
+  if (State != Step::OtherDirectories || !LastPartKey.empty())
     return Duration::zero();
   auto pairs = static_cast<int64_t>(Instances * DirectoryServers.size());
-  return std::min<Duration>(ListDelayMax, std::chrono::duration_cast<Duration>(
-                                              OtherPartsDelayPerPair * pairs));
+  return std::min<Duration>(DelayMax, std::chrono::duration_cast<Duration>(
+                                          OtherPartsDelayPerPair * pairs));
 }
 
 Duration StartupReads::listDelayMax() const {
-  return std::min(ListDelayMax,
-                  ListDelayPerServer *
-                      static_cast<int64_t>(DirectoryServers.size()));
+  return std::min(DelayMax, ListDelayPerServer *
+                                static_cast<int64_t>(DirectoryServers.size()));
 }
 
 } // namespace chicory::edge
