--- a/include/chicorybank/core/Events.h
+++ b/include/chicorybank/core/Events.h
@@ -62,7 +62,9 @@
 
 /// What an instance knows about the flow or request of a query.
 enum class QueryResult : uint8_t {
-  NotSeen,   ///< It was never accepted here, and never will be.
+  /// For a request: it was never accepted here, and never will be. For a flow:
+  /// it has no pin here, or only a tentative one.
+  NotSeen,
   Seen,      ///< It is recorded here; forward the packet.
   MayBeSeen, ///< Unknown: it may have been accepted here.
 };
--- a/include/chicorybank/core/Membership.h
+++ b/include/chicorybank/core/Membership.h
@@ -57,8 +57,9 @@
 
   /// Adds a peer from the settings, the platform's list or another peer.
   void addPeer(const InstanceInfo &info, Time now);
-  /// Records a heartbeat. Returns false if it is ignored: it is older than the
-  /// last one, or has no addresses and its sender is unknown.
+  /// Records a heartbeat. Returns false if it is ignored: it has this
+  /// instance's own id, is not newer than the last one of the same process, or
+  /// has no addresses and its sender is unknown.
   bool recordHeartbeat(const Heartbeat &heartbeat, Time now);
   /// Records that a peer refused a connection: its process has stopped.
   void recordRefusal(InstanceId id);
--- a/include/chicorybank/core/OwnershipTracker.h
+++ b/include/chicorybank/core/OwnershipTracker.h
@@ -83,7 +83,8 @@
   /// Returns whether no instance can hold a lease under the previous document
   /// any more. The next document must not be written earlier.
   bool isPreviousDocumentRetired(Time now) const;
-  /// Returns whether a majority currently grants this instance its lease.
+  /// Returns whether this instance holds a lease: a majority currently grants
+  /// it, or the rest of the lease under the previous document has not ended.
   bool holdsLease(Time now) const { return leaseUntil() > now; }
 
 private:
--- a/include/chicorybank/token/Core.h
+++ b/include/chicorybank/token/Core.h
@@ -80,7 +80,8 @@
   Histogram HandshakeTime;
   /// Time from the data of a request to the first sign of its answer.
   Histogram RequestTime;
-  /// Age of a version when it took effect on this instance.
+  /// Age of the registry updates when a version of the routes took effect on
+  /// this instance.
   Histogram RoutesAge;
 };
 
@@ -229,20 +230,26 @@
   void reset(const FlowPacket &head, Reason why, BackendIndex i, Time now,
              Actions &actions);
   void drop(const FlowPacket &head, Reason why, Time now, Actions &actions);
-  /// Returns the age of the updates; zero before the first one.
+  /// Returns the age of the registry updates; zero until all registrations of
+  /// backend servers were read.
   Duration updateAge(Time now) const {
     return AllBackendsKnown ? now - CurrentAt : Duration::zero();
   }
-  /// Returns true if the known routes are no older than the time within which a
-  /// configuration must take effect.
+  /// Returns true if the registry updates are newer than `ApplyWithin`, the
+  /// time within which a configuration must take effect.
   bool isCurrent(Time now) const {
     return now - CurrentAt < Options.ApplyWithin;
   }
-  /// Returns true if the updates had no gap for as long as a registration may
-  /// need to return, so that missing servers have ended. The time that the
-  /// updates are from counts, since a registration may have returned after
-  /// that. The gap may also not be over yet: items can be read before they are
-  /// confirmed as current.
+  /// Returns true if a missing registration proves that its server has ended.
+  /// Two conditions must hold:
+  ///
+  /// - The updates were confirmed as current less than `UpdateGap` ago.
+  ///   Otherwise a gap may not be over yet: items can be read before they are
+  ///   confirmed as current.
+  /// - The updates had no gap for at least `ReturnGrace`, within which the
+  ///   registration of a running server returns. This period ends at
+  ///   `CurrentAt` and not now, since a registration may have returned after
+  ///   `CurrentAt`.
   bool canTrustMissing(Time now) const {
     return now - CurrentAt < Options.UpdateGap &&
            CurrentAt - CurrentSince >= Options.ReturnGrace;
--- a/include/chicorybank/token/Events.h
+++ b/include/chicorybank/token/Events.h
@@ -59,8 +59,9 @@
   std::vector<ZonedInstance> Instances;
 };
 
-/// All registrations of backend servers were read at least once, so this
-/// instance may serve.
+/// All registrations of backend servers were read at least once. Until then,
+/// openings for which no server is known are dropped; afterwards they are
+/// reset.
 struct BackendsComplete {};
 
 /// How current this instance's updates from the registry are.
@@ -145,7 +146,8 @@
   /// The availability zone concerned; empty for none.
   std::string Zone;
   RuleVersion Rules;
-  /// Age of the registry updates that the decision is based on.
+  /// Age of the registry updates that the decision is based on; for
+  /// `backend_suspect`, the time since the server's last answer.
   Duration Age = Duration::zero();
 };
 
--- a/include/chicorybank/token/Histogram.h
+++ b/include/chicorybank/token/Histogram.h
@@ -1,4 +1,5 @@
-// Latency histograms with fixed buckets, as Prometheus expects them.
+// Latency histograms with fixed buckets. Counts are per bucket, not cumulative
+// as in the metrics format of Prometheus.
 
 #ifndef CHICORYBANK_TOKEN_HISTOGRAM_H
 #define CHICORYBANK_TOKEN_HISTOGRAM_H
--- a/include/chicorybank/token/Mechanisms.h
+++ b/include/chicorybank/token/Mechanisms.h
@@ -3,8 +3,9 @@
 // is off.
 //
 // Mechanisms that a requirement depends on have no switch: one server for all
-// copies of an opening, no answer while registry updates are stale, and tokens
-// that reach only services of the route.
+// copies of an opening (unless that server is avoided or accepts no new flows),
+// no answer to openings of unknown routes while registry updates are stale, and
+// tokens that reach only services of the route.
 
 #ifndef CHICORYBANK_TOKEN_MECHANISMS_H
 #define CHICORYBANK_TOKEN_MECHANISMS_H
--- a/include/chicorybank/token/Reachability.h
+++ b/include/chicorybank/token/Reachability.h
@@ -24,8 +24,9 @@
 
 /// Timeouts and thresholds of probes.
 struct ReachabilityOptions {
-  /// Minimum timeout of a probe: about twenty round trips between zones. On a
-  /// slow link the timeout is four handshakes.
+  /// Minimum timeout of a probe: about twenty round trips between zones. The
+  /// timeout is longer if four handshakes, or four round trips to the server's
+  /// zone, take longer.
   Duration Timeout = std::chrono::milliseconds(40);
   /// Consecutive failures that make a server unreachable. A saturated link may
   /// lose two packets out of three.
--- a/include/chicorybank/token/WarmUp.h
+++ b/include/chicorybank/token/WarmUp.h
@@ -8,10 +8,11 @@
 //
 // For each such server only one instance opens flows, at the rate that the
 // server can handle. It is selected by rendezvous hashing over the registered
-// instances of the server's zone, without any messages. Only instances of the
-// same zone take part, because only they reach the server while the zone is cut
-// off from the others. While their lists of instances differ, for some seconds,
-// two instances may select themselves and send at most twice the rate.
+// instances of the server's zone, without any messages, because only they reach
+// the server while the zone is cut off from the others. If the zone has no
+// instance, one of another zone is selected. While the instances' lists of
+// instances differ, for some seconds, two instances may select themselves and
+// send at most twice the rate.
 //
 // An alternative, a share of the rate for every instance, works as well: it
 // scores 0.941 like this one if a zone of 40 servers is used again by 86
--- a/lib/core/ControlPath.h
+++ b/lib/core/ControlPath.h
@@ -46,7 +46,9 @@
   Time NextProbe;
   Time LastPull;
   std::vector<InstanceId> KnownHomes;
-  /// Since when the current members document has differed from the wanted one.
+  /// Start of the delay before the next proposal: when the wanted members last
+  /// changed, or when they were last proposed. Empty while the current members
+  /// document has the wanted members.
   std::optional<Time> WantedSince;
   std::vector<InstanceId> LastWanted;
   std::optional<Time> StopRequestedAt;
--- a/lib/core/CoreState.h
+++ b/lib/core/CoreState.h
@@ -38,6 +38,7 @@
     return rendezvousFirst(flowHash, Members.homes());
   }
 
+  /// Counts a packet that is refused or dropped.
   void countRefusal(Reason why) { ++Stats.Refusals[static_cast<size_t>(why)]; }
   void countRetry(Reason why) { ++Stats.Retries[static_cast<size_t>(why)]; }
 
--- a/lib/token/BackendSelection.cpp
+++ b/lib/token/BackendSelection.cpp
@@ -25,15 +25,15 @@
 // A server to avoid is chosen only if there is no other one.
 constexpr double AvoidCost = 50;
 constexpr double SuspectCost = 20;
-// Applies once the registry has shown that the registration of a missing server
-// has ended. Such a server is worth a try if there is no other one.
+// Applies once the registry has shown that a missing server has ended. Such a
+// server is worth a try if there is no other one.
 constexpr double MissingCost = 30;
 constexpr double UsualSlots = 2;
 // An opening that is older is not moved, since the caller's next copy is on its
 // way.
 constexpr Duration MoveWithin = std::chrono::milliseconds(180);
-// The smoothed handshake may vary by this factor without indicating a silent
-// server.
+// An opening counts as unanswered after this many smoothed handshake times, or
+// after `OpeningTimeout` if that is longer.
 constexpr int HandshakeFactor = 4;
 
 } // namespace
--- a/lib/token/Core.cpp
+++ b/lib/token/Core.cpp
@@ -10,8 +10,9 @@
 constexpr Duration OpeningCheckInterval = std::chrono::milliseconds(10);
 // Interval between checks for idle flows and missing servers.
 constexpr Duration SweepInterval = std::chrono::milliseconds(250);
-// A tick that is later by this much shows that the process was suspended.
-// Missing answers to what it sent before prove nothing.
+// A tick that follows the previous one by more than this plus `SweepInterval`
+// shows that the process was suspended. Missing answers to what it sent before
+// prove nothing.
 constexpr Duration SuspendedAfter = std::chrono::milliseconds(150);
 // Callers send copies of an opening after 200 ms and 600 ms. A copy that is
 // handled sooner after the previous one waited in a queue of this instance.
@@ -59,9 +60,9 @@
     const Backend &backend = Servers.at(flow->Backend);
     bool avoided = isAvoided(backend, now) || !backend.acceptsNewFlows();
     // All copies go to one server: if two servers answered, the caller could
-    // have its flow at one server and the token of the other. Openings are
-    // taken only from a server that does not answer at all, or accepts no new
-    // flows, and only if this is a real copy.
+    // have its flow at one server and the token of the other. A copy goes to
+    // another server only if the first one, or its zone, is avoided or accepts
+    // no new flows, and only if this is a real copy.
     bool isRealCopy = flow->Opening && now - flow->SentAt >= MinCopyInterval;
     if (!isRealCopy || !avoided)
       return sendOpening(event, flow->Backend, now, actions);
@@ -88,7 +89,7 @@
   FlowState &flow = trackFlow(key, i, now);
   flow.LastSequence = event.Head.Sequence;
   if (flow.Opening) {
-    // A copy is not another flow.
+    // A copy of an opening is not counted again.
     if (flow.SentAt == Time{})
       WarmUps.onFlowOpened(Servers.at(i), now);
     flow.SentAt = now;
@@ -159,9 +160,9 @@
 }
 
 /// Handles a token that no known server has. The token may be newer than the
-/// registrations here. The server is known to have ended only after the time
-/// within which every registration arrives, with current updates for all of
-/// that time.
+/// registrations here. The server is known to have ended only if the token has
+/// been unknown for `UnknownTokenTimeout`, within which every registration
+/// arrives, and the updates were current for all of that time.
 void Core::handleUnknownToken(const FlowPacket &head, Time now,
                               Actions &actions) {
   if (head.Reset || head.Echo.Value == 0)
@@ -278,8 +279,8 @@
 
 void Core::on(const Tick & /*event*/, Time now, Actions &actions) {
   bool first = LastTick == Time{};
-  // Answers of callers may still wait in the socket, so nothing counts against
-  // the servers.
+  // Packets of callers that show answers may still wait in the socket, so
+  // nothing counts against the servers.
   if (!first && now - LastTick > SuspendedAfter + SweepInterval) {
     Openings.clear();
     Requests.clear();
--- a/lib/token/FlowTracking.cpp
+++ b/lib/token/FlowTracking.cpp
@@ -11,8 +11,8 @@
 
 // A caller gives up an opening after 1.4 s.
 constexpr Duration MaxOpeningAge = std::chrono::milliseconds(1500);
-// The longest plausible deadline of a request. If a request seems to be in
-// progress for longer, the last packet of its flow was lost.
+// The longest plausible deadline of a request. If a flow with a request in
+// progress has been idle for longer, its last packet was lost.
 constexpr Duration MaxRequestAge = std::chrono::seconds(10);
 // A new sample counts an eighth, as in the round-trip estimate of TCP (RFC
 // 6298).
--- a/lib/token/Reachability.cpp
+++ b/lib/token/Reachability.cpp
@@ -172,8 +172,8 @@
   Backend &backend = Servers.at(i);
   Reachability &reach = backend.Probes;
   markSuspect(i, now, actions);
-  // If no server of the zone has answered yet, the usual response time of the
-  // zone is unknown.
+  // If no server of the zone has answered yet, the round-trip time to the zone
+  // is unknown.
   bool roundTripKnown = backend.Info.Zone == Options.Zone ||
                         RoundTrips.contains(backend.Info.Zone);
   if (reach.Failures != 0 && !roundTripKnown)
@@ -214,8 +214,8 @@
   startProbe(i, now, actions);
 }
 
-/// The report counts as the first failed probe. A server without flows here and
-/// in another zone is not probed.
+/// The report counts as the first failed probe. A server of another zone to
+/// which this instance has no flows is not probed.
 void Core::on(const BackendReportedUnreachable &event, Time now,
               Actions &actions) {
   BackendIndex i = Servers.find(event.Id);
@@ -330,7 +330,9 @@
 }
 
 /// Probes the servers of requests that have waited for longer than usual,
-/// unless the server has answered any other request meanwhile.
+/// unless the server has answered anything meanwhile. If the server was found
+/// unreachable and its address now answers probes (`isDistrusted`), the waiting
+/// flows are reset instead.
 void Core::checkRequests(Time now, Actions &actions) {
   Duration timeout = requestTimeout();
   while (!Requests.empty() && now - Requests.front().SentAt >= timeout) {
--- a/tests/FakeDeployment.cpp
+++ b/tests/FakeDeployment.cpp
@@ -82,7 +82,6 @@
 void FakeDeployment::stop(InstanceId id) { handle(id, StopRequested{}); }
 
 bool FakeDeployment::settle() {
-  // Wait until new owners no longer refuse with `Reason::MayHaveRun`.
   bool ok = runUntil(
       [this] {
         return std::all_of(Nodes.begin(), Nodes.end(), [this](auto &it) {
@@ -92,6 +91,7 @@
         });
       },
       std::chrono::seconds(20));
+  // Wait until new owners no longer refuse with `Reason::MayHaveRun`.
   run(std::chrono::seconds(6));
   return ok;
 }
--- a/tests/FakeDeployment.h
+++ b/tests/FakeDeployment.h
@@ -61,7 +61,9 @@
     PartitionSide = std::move(inside);
   }
   void endPartition() { PartitionSide.clear(); }
-  /// Runs until all instances are live, reach each other and hold a lease.
+  /// Runs until all instances are live, know the current members document and
+  /// hold a lease, for 20 seconds at most, and then for six seconds more.
+  /// Returns false if the 20 seconds were not enough.
   bool settle();
 
   // --- platform
@@ -89,7 +91,8 @@
   std::map<FlowKey, uint64_t> DataToCaller;
   std::map<FlowKey, uint64_t> ResetsToCaller;
   std::map<TargetId, FakeTarget> Targets;
-  /// The targets that got packets of a flow, in order, without repetitions.
+  /// The targets that got packets of a flow, in order. Consecutive packets to
+  /// the same target are listed once.
   std::map<FlowKey, std::vector<TargetId>> ReachedTargets;
   std::map<InstanceId, uint64_t> HeartbeatsSent;
 
--- a/tests/OwnershipTrackerTest.cpp
+++ b/tests/OwnershipTrackerTest.cpp
@@ -54,7 +54,7 @@
   CPPUNIT_TEST(ownsNothingWithoutADocument);
   CPPUNIT_TEST(needsAMajorityForALease);
   CPPUNIT_TEST(losesItsLeaseWithoutHeartbeats);
-  CPPUNIT_TEST(waitsForTheLeaseOfAStoppedOwner);
+  CPPUNIT_TEST(waitsForTheLeaseOfAPartitionedOwner);
   CPPUNIT_TEST(takesOverAtOnceWhenThePreviousOwnerConfirms);
   CPPUNIT_TEST(ignoresOlderDocuments);
   CPPUNIT_TEST(keepsTheRestOfItsLeaseUnderANewDocument);
@@ -98,7 +98,7 @@
   // Guards against two instances that run the same request during a
   // replacement: the owner is partitioned, and the others agree on a document
   // without it. A new document alone does not end the lease under the old one.
-  void waitsForTheLeaseOfAStoppedOwner() {
+  void waitsForTheLeaseOfAPartitionedOwner() {
     std::vector<InstanceId> before = ids({1, 2, 3});
     std::vector<InstanceId> after = ids({1, 2});
     uint64_t hash = hashOwnedBy(InstanceId{3}, before, [&](uint64_t n) {
--- a/tests/TokenCoreTest.cpp
+++ b/tests/TokenCoreTest.cpp
@@ -355,9 +355,10 @@
   // returned servers cost less than missing ones, all instances choose them at
   // once.
   //
-  // Load: 1,500 requests a second through 86 instances, 150 servers. With equal
-  // costs each server gets its usual share; a tenth of the servers must not get
-  // more than a fifth of the flows.
+  // Modeled load: 1,500 requests a second through 86 instances, 150 servers. In
+  // the test one instance opens 200 flows at 40 servers, four of which are
+  // back. With equal costs each server gets its usual share; a tenth of the
+  // servers must not get more than a fifth of the flows.
   void includesServersWithExpiredRegistrations() {
     Instance instance;
     std::vector<Registration> all;
--- a/tests/ZonesTest.cpp
+++ b/tests/ZonesTest.cpp
@@ -58,9 +58,10 @@
   // are drained: half of the openings go to the zone that is cut off, and each
   // of its servers would have to be detected by itself.
   //
-  // Load: 28 instances with 18 openings a second each, 40 servers in each zone.
-  // An instance may lose as many openings as the detection takes, three,
-  // instead of two for each server.
+  // Modeled load: 28 instances with 18 openings a second each, 40 servers in
+  // each zone. In the test one instance opens 100 flows a second, and each zone
+  // has 20 servers. The detection takes three openings, instead of two for each
+  // server; the test allows ten lost ones.
   void avoidsAZoneThatIsCutOff() {
     Instance instance = withoutServersHere();
     size_t lost = 0;
@@ -118,9 +119,10 @@
 
   // Guards against servers of one zone that shed requests while those of other
   // zones are idle: half of a zone's callers move to another zone, and then the
-  // load rises to 1.8 times. Each of 28 instances has at most one or two
-  // requests at any of 40 servers, so no server looks busier than a server of
-  // another zone.
+  // load rises to 1.8 times. With 28 instances and 40 servers, each instance
+  // has at most one or two requests at any server, so no server looks busier
+  // than a server of another zone. The test has 20 instances and 20 servers in
+  // the zone.
   void spillsOverFromABusyZone() {
     Instance instance({.Zone = "b", .Self = InstanceId{1}, .Seed = 3});
     std::vector<Registration> servers;
