--- a/include/chicorybank/core/Membership.h
+++ b/include/chicorybank/core/Membership.h
@@ -63,7 +63,8 @@
   bool recordHeartbeat(const Heartbeat &heartbeat, Time now);
   /// Records that a peer refused a connection: its process has stopped.
   void recordRefusal(InstanceId id);
-  /// Checks for peers without heartbeats; call it every few milliseconds.
+  /// Detects and removes peers without heartbeats; call it every few
+  /// milliseconds.
   void update(Time now);
 
   /// Returns the part of the next heartbeat that is the same for all receivers.
--- a/include/chicorybank/token/Backends.h
+++ b/include/chicorybank/token/Backends.h
@@ -63,10 +63,11 @@
   BackendState State = BackendState::Ready;
   /// When the server became missing or gone.
   Time LostAt;
-  /// Requests in progress that this instance sent, openings that are not
-  /// answered yet, and all flows that it tracks.
+  /// Requests in progress that this instance sent to the server.
   uint32_t InProgress = 0;
+  /// Openings that this instance sent and that are not answered yet.
   uint32_t Opening = 0;
+  /// All flows at the server that this instance tracks.
   uint32_t Flows = 0;
   /// Consecutive openings and requests without an answer.
   uint32_t Unanswered = 0;
@@ -97,7 +98,7 @@
 /// drain.
 using DrainedZones = std::map<std::string, Time>;
 
-/// Timeouts of the list of backend servers.
+/// How long ended servers are kept in the list.
 struct BackendTimes {
   /// How long a server that is gone stays in the list: the maximum age of a
   /// flow.
@@ -128,8 +129,8 @@
   /// restarted: all observations of it are discarded, and `takeRestarted`
   /// returns it.
   bool applyRegistration(const Registration &info, Time now);
-  /// Marks a server as missing because its registration has ended. Returns true
-  /// if the state changed.
+  /// Marks a server as missing because its registration expired or was deleted.
+  /// Returns true if the state changed.
   bool markMissing(BackendId id, Time now);
   /// Marks a server as unreadable because its registration was replaced by one
   /// that can't be parsed. Returns true if the state changed.
--- a/include/chicorybank/token/Core.h
+++ b/include/chicorybank/token/Core.h
@@ -25,7 +25,7 @@
 
 namespace chicory::token {
 
-/// Settings of a core. Times without a reason here are set by the deployment.
+/// Settings of a core.
 struct CoreOptions {
   std::string Zone;
   InstanceId Self;
@@ -36,8 +36,8 @@
   /// updates are older can't know the current configuration.
   Duration ApplyWithin = std::chrono::seconds(3);
   BackendTimes Servers;
-  /// Updates that were not confirmed for this long have a gap: registrations
-  /// that vanished during the gap may come back.
+  /// If no update was confirmed as current for this long, updates may have been
+  /// missed (a gap): registrations that vanished during it may come back.
   Duration UpdateGap = std::chrono::milliseconds(700);
   /// A registration that vanished during a gap is back this long after the gap
   /// if its server is still running. (Requirement: about two seconds.)
@@ -178,8 +178,9 @@
   void onAddressAnswered(BackendIndex i, Time now, Actions &actions);
   bool isDistrusted(const Reachability &reach, Time now) const;
   void resetWaitingRequestsAt(BackendIndex i, Time now, Actions &actions);
-  /// Returns true if a recent false alarm makes it unsafe to declare a server
-  /// unreachable, or to act on a recent conclusion of that kind.
+  /// Returns true if a server that had failed a probe recently showed a sign of
+  /// life. No server is then declared unreachable, and no flow is reset because
+  /// a server was.
   bool hadRecentFalseAlarm(Time now) const {
     return now - FalseAlarmAt < Options.Probing.FalseAlarmHold;
   }
--- a/include/chicorybank/token/Events.h
+++ b/include/chicorybank/token/Events.h
@@ -37,7 +37,7 @@
 struct BackendsLearned {
   /// New or changed ones.
   std::vector<Registration> Present;
-  /// Servers whose registrations have ended.
+  /// Servers whose registrations expired or were deleted.
   std::vector<BackendId> Ended;
   /// Servers whose registrations can no longer be parsed.
   std::vector<BackendId> Unreadable;
@@ -96,7 +96,7 @@
   BackendId Id;
 };
 
-/// Advances timers; to be sent every few milliseconds while flows are opening.
+/// Advances timers; see `Core::nextTick` for when it is due.
 struct Tick {};
 
 using Event = std::variant<PacketReceived, RoutesLearned, PastRoutesLearned,
--- a/include/chicorybank/token/Reachability.h
+++ b/include/chicorybank/token/Reachability.h
@@ -40,10 +40,10 @@
   /// How long no server is declared unreachable after a server that failed a
   /// probe has shown a sign of life: about as long as a link stays saturated.
   Duration FalseAlarmHold = std::chrono::seconds(3);
-  /// The address of a server that has ended may belong to another server two
-  /// seconds later, which then answers the probes. A series starts within a
-  /// second of the end, so an answer that comes this long after the start of
-  /// the series may come from the new owner.
+  /// An answer this long after the start of a series may come from the
+  /// address's new owner: the address of a server that has ended may belong to
+  /// another server two seconds later, and a series starts within a second of
+  /// the end.
   Duration AddressReusedAfter = std::chrono::seconds(1);
   /// How long after the last failure a server that was unreachable still counts
   /// as silent although its address answers probes, until one of its flows
@@ -54,9 +54,9 @@
   /// Minimum time from the end of a series of probes to the next probe of the
   /// same server.
   Duration MinInterval = std::chrono::milliseconds(250);
-  /// How long a server counts as unreachable after a conclusion. A server that
-  /// was cut off returns without notice, so this must not outlast the cut by
-  /// much.
+  /// How long a server counts as unreachable after it was declared so. A server
+  /// that was cut off returns without notice, so this must not outlast the cut
+  /// by much.
   Duration UnreachableFor = std::chrono::milliseconds(600);
   /// A request without a sign of an answer leads to a probe after this time at
   /// least, and after this multiple of the usual response time. A probe is
--- a/include/chicorybank/token/Routes.h
+++ b/include/chicorybank/token/Routes.h
@@ -73,7 +73,7 @@
   bool learn(const RouteSet &routes, Time now);
 
   /// Adds services that routes led to, as recorded by other instances
-  /// (`RouteHistory.h`).
+  /// (`edge/RouteHistory.h`).
   ///
   /// Without this, an instance that starts after a route has moved knows only
   /// the new version and rejects the tokens of all older flows as forged. The
--- a/include/chicorybank/token/Types.h
+++ b/include/chicorybank/token/Types.h
@@ -1,7 +1,8 @@
 // Types of the token path: ids, tokens and the packet head.
 //
 // Backend servers answer callers directly. Both ends of a flow echo a 32-bit
-// token that the load balancer wrote into its last packet. The token identifies
+// token that the load balancer wrote into the last packet that it forwarded on
+// the flow. The token identifies
 // the flow's backend server, so any instance can forward any packet of an open
 // flow without state of its own (docs/design/platform.md).
 
--- a/lib/core/Core.cpp
+++ b/lib/core/Core.cpp
@@ -100,7 +100,7 @@
   InstanceId to = destination(content);
   // A joining instance that knows no home yet drops the packet: it has no state
   // of established flows and would reset them. The caller's next packet reaches
-  // a home.
+  // a home. The drop is counted as `NoRules`.
   bool knowsNoHome =
       to == InstanceId{} && State.Members.state() == InstanceState::Joining;
   if (knowsNoHome)
@@ -141,13 +141,13 @@
 }
 
 void CoreImpl::on(const ForwardedPacketArrived &event) {
-  bool decides = event.Packet.Content.Kind == PacketKind::Open ||
-                 event.Packet.Content.Kind == PacketKind::Request;
+  bool opensFlowOrRequest = event.Packet.Content.Kind == PacketKind::Open ||
+                            event.Packet.Content.Kind == PacketKind::Request;
   bool behind = event.Rules > State.History.version();
-  if (!decides || !behind)
+  if (!opensFlowOrRequest || !behind)
     return route(event.Packet, event.Hops);
-  // The other instance has newer rules and may already have applied them. A
-  // decision by older rules could send this flow to another target.
+  // The other instance has newer rules and may already have placed flows by
+  // them. A decision by older rules could send this flow to another target.
   if (WaitingForRules.size() >= MaxWaitingPackets)
     return State.countRefusal(Reason::NoRules);
   WaitingForRules.push_back({.Event = event, .Until = Now + MaxWaitForRules});
--- a/lib/core/CoreState.h
+++ b/lib/core/CoreState.h
@@ -38,7 +38,8 @@
     return rendezvousFirst(flowHash, Members.homes());
   }
 
-  /// Counts a packet that is refused or dropped.
+  /// Counts a packet that is refused or dropped, or that has reached the hop
+  /// limit.
   void countRefusal(Reason why) { ++Stats.Refusals[static_cast<size_t>(why)]; }
   void countRetry(Reason why) { ++Stats.Retries[static_cast<size_t>(why)]; }
 
--- a/lib/core/OwnershipTracker.cpp
+++ b/lib/core/OwnershipTracker.cpp
@@ -27,9 +27,10 @@
 bool OwnershipTracker::learn(const MembersDocument &document, Time now) {
   if (document.Version <= this->document().Version)
     return false;
-  // Nobody can take over under the document after this one before this instance
-  // has announced this one or a lease time has passed. So the rest of the
-  // current lease stays valid, and no request is refused because of the change.
+  // Nobody can take over under the document that follows the new one before
+  // this instance has announced the new one or a lease time has passed. So the
+  // rest of the lease under the old document stays valid, and no request is
+  // refused because of the change.
   InheritedLeaseUntil = std::min(leaseUntil(), now + Options.LeaseTime);
   Transitions.push_back({.Document = document, .LearnedAt = now});
   if (Transitions.size() > TransitionsKept)
@@ -68,7 +69,7 @@
   const MembersDocument &doc = document();
   if (!contains(doc.Members, Self))
     return Time{};
-  // This instance counts as one confirmation that never ends before the others.
+  // This instance counts as one of the majority, without a time limit.
   size_t needed = majorityOf(doc.Members) - 1;
   if (needed == 0)
     return Time::max();
--- a/lib/core/RequestPath.h
+++ b/lib/core/RequestPath.h
@@ -12,7 +12,8 @@
 
 namespace chicory {
 
-// A packet is forwarded by the first instance, the owner and a former owner.
+// At most three instances forward a packet: the first instance, the owner and a
+// former owner.
 inline constexpr uint8_t MaxRequestHops = 3;
 // An outcome is kept for this long after its request's deadline, to answer
 // duplicates.
@@ -29,7 +30,8 @@
   auto operator<=>(const RequestKey &) const = default;
 };
 
-/// Waits for the previous owner's reply about whether it has seen the request.
+/// State of a new record. While the previous owner is queried, waits for its
+/// reply about whether it has seen the request.
 struct QueryingPreviousOwner {};
 /// Waits for a slot of a target.
 struct Queued {};
@@ -43,8 +45,9 @@
   Time SentAt;
   std::optional<TargetId> AnsweredBy;
 };
-/// An answer is relayed for a request that no `Running` target is recorded for:
-/// another instance sent it, or its target was already considered silent.
+/// An answer is relayed although the request is not `Running` here: another
+/// instance sent it, or it waits for a retry because the target that now
+/// answers was considered silent.
 struct Adopted {
   TargetId AnsweredBy;
 };
@@ -57,8 +60,10 @@
   Duration RetryAfter{};
 };
 
-/// State of a request. States follow each other in this order, except that a
-/// retry goes from Running to BackingOff and back to Queued.
+/// State of a request. The usual order is QueryingPreviousOwner, Queued,
+/// Running, Answered; a retry goes from Running through BackingOff back to
+/// Queued. An answer that arrives in another unfinished state leads to Adopted
+/// and then to Answered. A request without an answer ends as RefusedState.
 using RequestState = std::variant<QueryingPreviousOwner, Queued, BackingOff,
                                   Running, Adopted, Answered, RefusedState>;
 
@@ -109,8 +114,8 @@
     RequestState State;
     /// No other instance can run it, so the outcome may be "not run".
     bool Exclusive = false;
-    /// A target that had it reset or did not answer, so the outcome can no
-    /// longer be "not run".
+    /// A target to which it was sent has reset the connection or has not
+    /// answered, so the outcome can no longer be "not run".
     bool MayHaveRun = false;
     ServiceId Service;
     std::vector<TargetId> Tried;
--- a/lib/token/BackendSelection.cpp
+++ b/lib/token/BackendSelection.cpp
@@ -39,9 +39,9 @@
 } // namespace
 
 bool Core::prefersOwnZone(ServiceId service) {
-  double leaves = ZoneView.spillShare(service);
+  double spillShare = ZoneView.spillShare(service);
   return Options.Enabled.OwnZoneFirst &&
-         std::uniform_real_distribution<double>(0, 1)(Random) >= leaves;
+         std::uniform_real_distribution<double>(0, 1)(Random) >= spillShare;
 }
 
 double Core::costOf(const Backend &backend, bool ownZoneFirst, Time now) {
@@ -59,7 +59,7 @@
                                   Time now) {
   BackendIndex out = NoBackend;
   double lowest = std::numeric_limits<double>::max();
-  bool stays = prefersOwnZone(service);
+  bool ownZoneFirst = prefersOwnZone(service);
   uint32_t loadHere = 0;
   uint32_t slotsHere = 0;
   // All registrations may expire while the registry is down, and they return
@@ -80,7 +80,7 @@
     if ((!backend.acceptsNewFlows() && !missing) ||
         !WarmUps.mayOpen(backend, now))
       continue;
-    double cost = costOf(backend, stays, now);
+    double cost = costOf(backend, ownZoneFirst, now);
     if (missing)
       cost += missingCost;
     // If two servers share a token, only this instance's record of the flow can
--- a/lib/token/Backends.cpp
+++ b/lib/token/Backends.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const std::vector<BackendIndex> None;
+const std::vector<BackendIndex> NoBackends;
 
 void eraseValue(std::vector<BackendIndex> &list, BackendIndex i) {
   list.erase(std::remove(list.begin(), list.end(), i), list.end());
@@ -44,8 +44,8 @@
   BackendState oldState = backend.State;
   RegistrationOrder oldOrder = backend.Info.Order;
   backend.Info = info;
-  // A restored registry lists an old registration in a new generation. It is no
-  // newer than a registration that has taken over its address since.
+  // A restored registry lists an old registration in a new generation. The old
+  // registration must not replace the server that has the address now.
   if (!isNew && oldOrder.Revision == info.Order.Revision)
     backend.Info.Order = oldOrder;
   backend.ZoneDrained = Drained.contains(info.Zone);
@@ -169,12 +169,12 @@
 
 const std::vector<BackendIndex> &Backends::withToken(Token token) const {
   auto it = ByToken.find(token.Value);
-  return it == ByToken.end() ? None : it->second;
+  return it == ByToken.end() ? NoBackends : it->second;
 }
 
 const std::vector<BackendIndex> &Backends::ofService(ServiceId service) const {
   auto it = ByService.find(service.Value);
-  return it == ByService.end() ? None : it->second;
+  return it == ByService.end() ? NoBackends : it->second;
 }
 
 bool Backends::sharesToken(BackendIndex i) const {
--- a/lib/token/FlowTracking.cpp
+++ b/lib/token/FlowTracking.cpp
@@ -61,9 +61,9 @@
     }
     return;
   }
-  bool again =
+  bool isRetransmission =
       flow.RequestInProgress && !answered && head.Sequence == flow.LastSequence;
-  if (again && now - flow.DataAt >= MinRetransmitInterval)
+  if (isRetransmission && now - flow.DataAt >= MinRetransmitInterval)
     recordUnanswered(flow.Backend, now, actions);
   if (!flow.RequestInProgress) {
     flow.RequestInProgress = true;
--- a/tests/BackendsTest.cpp
+++ b/tests/BackendsTest.cpp
@@ -121,7 +121,8 @@
     section("the registry can be trusted again", [&] {
       expectEqual<size_t>(1, list.expire(true, Start).size());
       expectTrue(list.at(0).State == BackendState::Gone, "it is gone");
-      expectTrue(list.expire(true, Start).empty(), "reported once");
+      expectTrue(list.expire(true, Start).empty(),
+                 "a server that is gone is reported only once");
       expectEqual<size_t>(0, list.size());
     });
   }
@@ -225,7 +226,7 @@
     expectTrue(!list.sharesToken(0), "no other server");
     list.applyRegistration(server(High | 4), Start);
     expectTrue(tokenOf(BackendId{High | 4}) == tokenOf(BackendId{5}),
-               "two ids fold to one token");
+               "both ids have the same token");
     expectTrue(list.sharesToken(0) && list.sharesToken(1), "both share it");
   }
 };
--- a/tests/CoreTest.cpp
+++ b/tests/CoreTest.cpp
@@ -242,7 +242,7 @@
                 });
               },
               2s),
-          "version 2 is in force on all");
+          "all instances have version 2");
     });
     section("an older set is never applied again", [&] {
       chicory::Actions actions;
--- a/tests/FlowTableTest.cpp
+++ b/tests/FlowTableTest.cpp
@@ -23,7 +23,8 @@
     FlowTable table(3);
     for (uint32_t i = 0; i < 3; ++i)
       expectTrue(table.insert(flow(i)) != nullptr, "there is room");
-    expectTrue(table.insert(flow(3)) == nullptr, "there is none");
+    expectTrue(table.insert(flow(3)) == nullptr,
+               "insert fails when the table is full");
     table.erase(flow(1));
     expectTrue(table.insert(flow(3)) != nullptr, "there is room again");
   }
--- a/tests/OwnershipTrackerTest.cpp
+++ b/tests/OwnershipTrackerTest.cpp
@@ -144,9 +144,12 @@
 
   void ignoresOlderDocuments() {
     OwnershipTracker tracker(InstanceId{1}, Start, {});
-    expectTrue(tracker.learn(document(5, ids({1})), Start), "newer");
-    expectTrue(!tracker.learn(document(4, ids({2})), Start), "older");
-    expectTrue(!tracker.learn(document(5, ids({2})), Start), "the same");
+    expectTrue(tracker.learn(document(5, ids({1})), Start),
+               "a newer document is applied");
+    expectTrue(!tracker.learn(document(4, ids({2})), Start),
+               "an older document is ignored");
+    expectTrue(!tracker.learn(document(5, ids({2})), Start),
+               "the same document is ignored");
   }
 
   void keepsTheRestOfItsLeaseUnderANewDocument() {
--- a/tests/TokenCoreTest.cpp
+++ b/tests/TokenCoreTest.cpp
@@ -110,7 +110,7 @@
     instance.pass(6s);
     expectTrue(resetReason(instance.packet(caller.data(1, 77))) ==
                    Reason::BackendGone,
-               "by now the registration would have arrived");
+               "the flow is reset, since the registration would have arrived");
   }
 
   // Guards against running out of memory if somebody sends packets with forged
@@ -384,7 +384,8 @@
       instance.packet(last);
     }
     expectTrue(atReturned <= Flows / 5,
-               "a fifth at most: " + toText(atReturned));
+               "at most a fifth of the flows at the returned servers, got " +
+                   toText(atReturned));
   }
 
   // Guards against two seconds without service after a restart of all
--- a/tests/ZonesTest.cpp
+++ b/tests/ZonesTest.cpp
@@ -90,13 +90,16 @@
     Backend one{.Info = serverIn("b", 1)};
     Backend two{.Info = serverIn("b", 2)};
     for (int n = 0; n < 20; ++n) {
-      expectTrue(!zones.recordMiss(one, Start), "one miss");
-      expectTrue(!zones.recordMiss(two, Start), "two misses");
+      expectTrue(!zones.recordMiss(one, Start),
+                 "one miss does not make the zone suspect");
+      expectTrue(!zones.recordMiss(two, Start),
+                 "two misses do not make the zone suspect");
       zones.recordAnswer("b");
     }
     section("misses of a single server do not make the zone suspect", [&] {
       for (int n = 0; n < 20; ++n)
-        expectTrue(!zones.recordMiss(one, Start), "the same server");
+        expectTrue(!zones.recordMiss(one, Start),
+                   "further misses of the same server do not count");
     });
     section("misses of different servers do", [&] {
       zones.recordMiss(two, Start);
@@ -106,7 +109,8 @@
     });
     section("until a server answers", [&] {
       zones.recordAnswer("b");
-      expectTrue(!zones.isSuspect("b", Start), "at once");
+      expectTrue(!zones.isSuspect("b", Start),
+                 "an answer ends the suspicion at once");
     });
   }
 
@@ -114,7 +118,7 @@
     Zones zones("a", {});
     for (uint64_t id = 1; id < 20; ++id)
       expectTrue(!zones.recordMiss(Backend{.Info = serverIn("a", id)}, Start),
-                 "the own zone");
+                 "the own zone is never suspect");
   }
 
   // Guards against servers of one zone that shed requests while those of other
