--- a/lib/token/Backends.cpp
+++ b/lib/token/Backends.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const std::vector<BackendIndex> NoBackends;
+const std::vector<BackendIndex> None;
 
 void eraseValue(std::vector<BackendIndex> &list, BackendIndex i) {
   list.erase(std::remove(list.begin(), list.end(), i), list.end());
@@ -169,12 +169,12 @@
 
 const std::vector<BackendIndex> &Backends::withToken(Token token) const {
   auto it = ByToken.find(token.Value);
-  return it == ByToken.end() ? NoBackends : it->second;
+  return it == ByToken.end() ? None : it->second;
 }
 
 const std::vector<BackendIndex> &Backends::ofService(ServiceId service) const {
   auto it = ByService.find(service.Value);
-  return it == ByService.end() ? NoBackends : it->second;
+  return it == ByService.end() ? None : it->second;
 }
 
 bool Backends::sharesToken(BackendIndex i) const {
