--- a/lib/edge/BackendProber.h
+++ b/lib/edge/BackendProber.h
@@ -27,8 +27,8 @@
   /// When `takeEnded` must be called next.
   Time nextAt() const;
   /// Returns the probes that have ended since the last call, including those
-  /// whose timeout has passed. Call it after the loop's handlers, so that a
-  /// connection that is already established counts before its timeout.
+  /// whose timeout has passed. Call it after the loop's handlers, so that an
+  /// established connection counts as reached even if its timeout has passed.
   std::vector<token::ProbeEnded> takeEnded(Time now);
 
 private:
--- a/lib/edge/Directory.cpp
+++ b/lib/edge/Directory.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr uint64_t FormatVersion = 3;
-// An item of the registry holds at most a megabyte, and a column of numbers is
-// not compressed to less than a tenth unless the data is malicious.
+// Limits the memory that a damaged item can take. An item of the registry holds
+// at most a megabyte, and intact data is not compressed to less than a tenth.
 constexpr size_t MaxBytes = 16 << 20;
 
 using token::Registration;
--- a/lib/edge/Http.cpp
+++ b/lib/edge/Http.cpp
@@ -12,13 +12,16 @@
 
 namespace {
 
-// The registry's pages hold 1 MB, and base64 adds a third.
+// Limits the memory that a message takes. Pages of the registry hold 1 MB, to
+// which base64 adds a third; those of other instances are compressed.
 constexpr size_t MaxBodyBytes = 4 << 20;
 constexpr size_t MaxTargetBytes = 4096;
 constexpr size_t MaxHeaderBytes = 256;
 constexpr size_t ReadChunkBytes = 16 << 10;
 constexpr size_t MaxConnections = 64;
-// Readiness probes arrive twice a second, so an idle connection is abandoned.
+// Closes abandoned connections, which would use up `MaxConnections`. Readiness
+// probes arrive twice a second, so a prober's connection is never idle this
+// long.
 constexpr Duration MaxIdleTime = std::chrono::seconds(10);
 
 } // namespace
--- a/lib/edge/InstanceRegistrar.cpp
+++ b/lib/edge/InstanceRegistrar.cpp
@@ -11,7 +11,8 @@
     return std::nullopt;
   Waiting = true;
   if (std::exchange(MustReread, false)) {
-    // If a write was not answered, the record may have another's lease.
+    // Unless the last write was answered, it is unknown under which lease the
+    // record is, so a new lease is created.
     bool written = State == Phase::Renewing || State == Phase::Reading;
     State = written ? Phase::Reading : Phase::CreatingLease;
     // A stale read may be from before the restore.
@@ -60,8 +61,8 @@
     return;
   }
   case Phase::Writing:
-    // The write came after an unnoticed restore of the registry, which may
-    // have given a lease of this number to another instance since.
+    // If the generation has changed since the lease was created, the registry
+    // was restored, and this number may be another instance's lease since.
     if (LeaseGeneration && answer.Generation &&
         *answer.Generation != *LeaseGeneration) {
       State = Phase::CreatingLease;
--- a/lib/edge/Log.cpp
+++ b/lib/edge/Log.cpp
@@ -77,7 +77,8 @@
   if (counter.Suppressed != 0)
     out += " left_out=" + std::to_string(std::exchange(counter.Suppressed, 0));
   out += '\n';
-  // A slow reader loses lines; it must not block the instance.
+  // A line that can't be written is lost. A slow reader blocks this call unless
+  // the descriptor is non-blocking.
   [[maybe_unused]] ssize_t n = ::write(Fd, out.data(), out.size());
 }
 
--- a/lib/edge/Log.h
+++ b/lib/edge/Log.h
@@ -12,7 +12,7 @@
 
 /// Builds one log line.
 ///
-///   log.write(LogLine("reload").with("settings", path));
+///   log.write(LogLine("reload").with("cause", "file"));
 class LogLine {
 public:
   explicit LogLine(std::string event) : Event(std::move(event)) {}
@@ -41,7 +41,8 @@
 /// so `ago_ms` is the time since the decision was made.
 LogLine decisionLine(const token::Decision &decision, Time now);
 
-/// Writes lines to a file descriptor without blocking.
+/// Writes lines to a file descriptor, which has to be non-blocking: otherwise a
+/// slow reader blocks `write`.
 ///
 /// Lines above the rate limit of their key are counted instead of written. The
 /// next line with that key has the count in `left_out`.
--- a/lib/edge/PacketWorker.cpp
+++ b/lib/edge/PacketWorker.cpp
@@ -115,9 +115,9 @@
       ++Stats.BadPackets;
       continue;
     }
-    // A copy of a stale opening may have opened the flow at another server in
-    // the meantime. If a second server answered as well, the flow's token would
-    // name that one. A caller that still waits retransmits its opening.
+    // The caller may have sent this opening again, through another instance.
+    // Forwarding this copy could open the flow at a second server, which the
+    // flow's token would then name. A caller that still waits retransmits it.
     if (OpeningsMayBeStale && head->Open) {
       ++Stats.StaleOpenings;
       continue;
--- a/lib/edge/PeerMessages.cpp
+++ b/lib/edge/PeerMessages.cpp
@@ -74,7 +74,7 @@
   return out.take();
 }
 
-/// Returns whether the items are too large for a push, even if compressed.
+/// Returns whether the items exceed `MaxPushBytes`, before compression.
 bool isTooLarge(const UpdatePush &push) {
   size_t bytes = 0;
   for (const Item &it : push.Page.Items)
--- a/lib/edge/PeerUpdates.cpp
+++ b/lib/edge/PeerUpdates.cpp
@@ -1,4 +1,4 @@
-// How a registry watcher applies the pushes and pages of other instances.
+// The part of `RegistryWatcher` that exchanges updates with other instances.
 
 #include "chicorybank/edge/RegistryWatcher.h"
 
@@ -13,8 +13,8 @@
 // the cap only has to be above every limit on the age.
 constexpr Duration MaxPushAge = std::chrono::hours(1);
 
-// A copy that differs from others' for this many poll intervals has missed a
-// change.
+// If two caches at the same position differ for this many poll intervals, one
+// of them has missed a change.
 constexpr int MaxDiffersIntervals = 2;
 
 } // namespace
@@ -51,10 +51,11 @@
   return false;
 }
 
-/// Compares this copy with another one at the same position. A copy that was
-/// listed during changes has some changes beyond its position, and differs
-/// until the next push. Taking that for a missed change would lead from each
-/// list to further lists while hundreds of servers register.
+/// Records whether another cache at the same position differs, and lists again
+/// if it does for too long. A cache that was listed during changes has some
+/// changes beyond its position, and differs until the next push. If that
+/// counted as a missed change, each list would cause another one while hundreds
+/// of servers register.
 void RegistryWatcher::trackDifference(bool differs, Time now) {
   if (!differs) {
     DiffersSince.reset();
@@ -79,7 +80,7 @@
 /// Returns whether a full copy from the sender can replace the first list. When
 /// all instances start at once, each list takes megabytes on the registry's
 /// link and a call for each page. Without this, that link is saturated for half
-/// a minute, and `registry_calls` has as many lists as there are pages.
+/// a minute, and `registry_calls` of each instance has one list for each page.
 bool RegistryWatcher::replacesFirstList(const UpdatePush &push) const {
   return firstListIsPending() && push.Age < Times.StaleAfter &&
          push.Page.At.Generation == LatestGeneration;
--- a/lib/edge/PropagationTree.cpp
+++ b/lib/edge/PropagationTree.cpp
@@ -20,14 +20,15 @@
 // instances below them do.
 constexpr size_t LastRankStep = 4;
 constexpr double DepthStep = 0.5;
-// Instances that start for the first time have no rank yet. The first of them
-// that asks pushes the answer to the others, down a tree of three steps with a
-// read in each.
+// The maximum random addition for instances without a rank, such as ones that
+// start for the first time. It is long enough for the first of them to ask and
+// for its answer to reach the others, in three steps with a read in each.
 constexpr double UnrankedJitter = 2;
 constexpr size_t Unranked = std::numeric_limits<size_t>::max();
 // At any rank, an instance has to ask for a change in time to apply it.
 constexpr double MaxShareOfApplyTime = 0.75;
-// Lower ranks leave the retries at a failing registry to the first instances.
+// The maximum back-off of all but the first instance of a zone is this many
+// times longer, so that mostly the first ones retry at a failing registry.
 constexpr double FollowerRetryFactor = 3;
 
 /// Returns the rank of the first child in the tree.
@@ -98,7 +99,8 @@
   }
 }
 
-/// Appends the addresses at `FanOut` ranks from `first` on, but this one's.
+/// Appends the addresses of the `FanOut` members from rank `first` on, without
+/// this instance.
 void PropagationTree::appendRanks(const std::vector<Member> &members,
                                   size_t first,
                                   std::vector<Address> &out) const {
--- a/lib/edge/RegistryCache.cpp
+++ b/lib/edge/RegistryCache.cpp
@@ -9,27 +9,28 @@
 
 namespace {
 
-// An instance that received nothing for more than about twenty seconds of
-// changes reads everything again. With more items than that, the history has
-// room for one change of each, since all of them may register again within a
-// second.
+// The history holds at least this many changes, those of about twenty seconds.
+// An instance that is further behind reads everything. With more items than
+// that, the history has room for one change of each, since all of them may
+// register again within a second.
 constexpr size_t MinHistoryItems = 512;
 // About 100 kB. Beyond it, errors in an item are reported more than once.
 constexpr size_t MaxUnparseable = 1000;
 
-/// Returns true if the second registration adds nothing to the first one.
+/// Returns true if both are registrations and the second one adds nothing to
+/// the first; false for any other content.
 bool hasSameContent(const ItemContent &a, const ItemContent &b) {
   const auto *x = std::get_if<token::Registration>(&a);
   const auto *y = std::get_if<token::Registration>(&b);
   if (!x || !y)
     return false;
-  // Nearly all registrations are renewals, thousands a second for the instance
-  // that watches.
+  // Nearly all writes of registrations are renewals, thousands a second for the
+  // instance that watches.
   if (*x == *y)
     return true;
   token::Registration later = *y;
-  // The time counts down while a server warms up. An instance that knows its
-  // start needs no update.
+  // `WarmUpLeft` decreases while a server warms up. An instance that knows when
+  // the warm-up began needs no update.
   bool countingDown =
       later.WarmUpLeft > Duration::zero() && later.WarmUpLeft <= x->WarmUpLeft;
   if (countingDown)
@@ -94,8 +95,8 @@
          !std::holds_alternative<DirectorySummary>(content);
 }
 
-/// The configuration is of no kind: it is replaced, never removed, and retained
-/// until then.
+/// The configuration is of no kind, so it never expires: it is retained until
+/// it is replaced, and never removed.
 bool isOfKind(const ItemContent &content, RetainedItems kind) {
   switch (kind) {
   case RetainedItems::Registrations:
--- a/lib/edge/RegistrySync.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -140,8 +140,8 @@
 }
 
 /// Logs a restore of the registry. If `copy_revision` is above `revision`, the
-/// registry has lost the changes in between; `held` of those items are retained
-/// here until they are written again.
+/// registry has lost the changes in between. `held` is the number of lost items
+/// that are retained here until they are written again.
 void RegistrySync::logRestore(const Position &before, InstanceId from) {
   Position after = Watcher.cache().position();
   if (before == Position{} || before.Generation == after.Generation)
--- a/lib/edge/RegistrySync.h
+++ b/lib/edge/RegistrySync.h
@@ -21,7 +21,8 @@
 
 namespace chicory::edge {
 
-/// Counters of the datagrams between instances.
+/// Counters of the datagrams between instances: `Messages` and `Bytes` of sent
+/// ones, `Malformed` and `UnreachableReports` of received ones.
 struct PeerMessageStats {
   uint64_t Messages = 0;
   uint64_t Bytes = 0;
@@ -121,8 +122,8 @@
   /// Routes or their stored history have changed since the last
   /// `updateRouteHistory`.
   bool RoutesChanged = false;
-  /// The registry counts as unavailable: the updates are stale, or the last
-  /// write failed.
+  /// The registry counts as unavailable: the updates are stale, or the write of
+  /// `leave` failed.
   bool Stale = false;
   bool Leaving = false;
   PeerMessageStats Traffic;
--- a/lib/edge/RegistryWatcher.cpp
+++ b/lib/edge/RegistryWatcher.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Removes the effect of earlier items on a server.
+/// Removes a server from the event, so that only its last item counts.
 void eraseServer(token::BackendsLearned &servers, token::BackendId id) {
   std::erase_if(servers.Present, [&](const token::Registration &other) {
     return other.Id == id;
@@ -40,8 +40,8 @@
     return DueAt;
   if (watches())
     return std::max(DueAt, WatchedAt + Times.PollInterval);
-  // After a list that may be stale, a push of the instance that watches is
-  // about to arrive.
+  // `LastList`: after a list that may be stale, a push of the instance that
+  // watches is about to arrive.
   return std::max(
       {DueAt, CurrentAt + StalenessLimit, LastList + StalenessLimit});
 }
@@ -179,7 +179,7 @@
     RetainOperatorSettingsUntil = now + Times.RetainOperatorSettingsFor;
   }
   OperatorsHaveWritten = false;
-  // Without a header, the other instances' generation is the only source.
+  // Without a header, only other instances' pages state the generation.
   if (!HasGenerationHeader && LatestGeneration)
     LatestGeneration = Cache.position().Generation;
 }
@@ -218,7 +218,8 @@
     ++Stats.BadAnswers;
     Faults.add({.File = "registry answer"}, result.error());
   }
-  // What another instance provided is as good as the directory.
+  // Changes of the directory have no key. They are not needed if another
+  // instance has provided all items.
   bool directory = !changes.empty() && changes.front().Source.Key.empty();
   if (!Seeded || !directory)
     appendEvents(std::move(changes), out);
@@ -314,7 +315,8 @@
   return current;
 }
 
-/// All items are known, from a list or, the first time, from another instance.
+/// Changes to watching, once all items are known from a list or, the first
+/// time, from another instance.
 void RegistryWatcher::beginWatching(Time now, std::vector<token::Event> &out) {
   if (!Complete)
     endUnlistedServers(out);
--- a/lib/edge/RegistryWriter.cpp
+++ b/lib/edge/RegistryWriter.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // A write that takes longer fails and is retried. The registry usually answers
-// in about a 400th of this time.
+// in about 4 ms.
 constexpr Duration CallTimeout = std::chrono::milliseconds(1500);
 
 } // namespace
--- a/lib/edge/RouteHistory.cpp
+++ b/lib/edge/RouteHistory.cpp
@@ -10,8 +10,7 @@
 
 namespace {
 
-// This many take about 9 kB, as much as a few registrations and far less than
-// a configuration with as many routes.
+// This many take about 9 kB, far less than a configuration with as many routes.
 constexpr size_t AddressesPerPart = 256;
 
 std::set<token::RoutePair> pairsOf(const RouteHistoryParts &stored) {
--- a/lib/edge/Settings.cpp
+++ b/lib/edge/Settings.cpp
@@ -12,14 +12,16 @@
 constexpr Duration MaxDuration = 24h;
 // The part of the grace time that is reserved for the exit of the process.
 constexpr Duration GraceReserve = 1s;
-// The maximum staleness limit is three and a half poll intervals
-// (`PropagationTree.cpp`); the rest is for the call and for propagation.
+// The maximum staleness limit is 4.5 of these poll intervals
+// (`MaxShareOfApplyTime` in `PropagationTree.cpp`); the rest is for the call
+// and for propagation.
 constexpr int PollsPerApply = 6;
 constexpr Duration PollIntervalMin = 100ms;
-// In normal operation, updates are up to one poll interval old. Registrations
-// may expire as soon as the registry does not answer, so a slightly higher age
-// already counts as a gap. A false gap only delays the detection that a server
-// has ended.
+// Without updates for this many poll intervals, `UpdateGap` counts them as
+// interrupted. In normal operation, updates are up to one poll interval old,
+// and registrations may expire as soon as the registry does not answer, so the
+// limit is only slightly higher. A false gap only delays the detection that a
+// server has ended.
 constexpr double PollsInGap = 1.4;
 constexpr Duration PollIntervalMax = 1s;
 
--- a/lib/edge/SuspensionDetector.h
+++ b/lib/edge/SuspensionDetector.h
@@ -14,7 +14,7 @@
   explicit SuspensionDetector(Duration maxTurn) : MaxTurn(maxTurn) {}
 
   void recordTurn(Time now) { LastTurn = now; }
-  /// Returns whether the last turn was longer ago than a running thread allows.
+  /// Returns whether more than the maximum has passed since the last iteration.
   /// The process or its machine was suspended then, and data that waits in the
   /// sockets may be stale.
   bool wasSuspended(Time now) const {
--- a/tests/DirectoryTest.cpp
+++ b/tests/DirectoryTest.cpp
@@ -35,7 +35,7 @@
       rc::gen::arbitrary<bool>(), rc::gen::arbitrary<uint32_t>());
 }
 
-/// `count` servers in the order of their ids, started within a few minutes.
+/// `count` servers in the order of their ids, started within a minute.
 std::vector<Registration> registrations(size_t count) {
   std::mt19937_64 random(1);
   std::set<uint64_t> ids;
--- a/tests/DirectoryWriterTest.cpp
+++ b/tests/DirectoryWriterTest.cpp
@@ -86,8 +86,8 @@
     });
   }
 
-  // 600 servers renew their registrations 500 times a second. This must not
-  // cause writes.
+  // In a deployment of 600 servers, 500 renewals a second are written in total.
+  // They must not cause writes of the directory.
   void writesNothingForRenewals() {
     Store store;
     store.server(1);
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -74,7 +74,7 @@
   int Port = 0;
 
 private:
-  /// Sets the header with the count of restores of the registry.
+  /// Sets the header with the generation of the registry.
   void setGenerationHeader(httplib::Response &response) const {
     response.set_header(Dialect.generationHeader(),
                         std::to_string(Content.generation().Value));
--- a/tests/InstanceRegistrarTest.cpp
+++ b/tests/InstanceRegistrarTest.cpp
@@ -128,9 +128,9 @@
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
   }
 
-  // Guards against the same symptom while renewals succeed: the registry has
-  // removed the key and kept the lease, so a renewed lease does not prove that
-  // the record exists.
+  // Guards against an instance that stays missing from the propagation tree
+  // although its renewals succeed: the registry has removed the key and kept
+  // the lease, so a renewed lease does not prove that the record exists.
   void rewritesRemovedRecord() {
     RegistrarFixture it;
     it.announce();
@@ -190,8 +190,8 @@
     });
   }
 
-  // Of 735 starts in a day, most are restarts at the same address within the
-  // eight seconds of the lease. A new lease and record are two writes at full
+  // Of 735 starts in a day, most are restarts at the same address before the
+  // lease ends. A new lease and record are two writes at full
   // cost; reading the record and renewing its lease cost a tenth each.
   void takesOverRecordAndLeaseAfterRestart() {
     RegistrarFixture it;
--- a/tests/PeerMessagesTest.cpp
+++ b/tests/PeerMessagesTest.cpp
@@ -152,8 +152,8 @@
     expectTrue(!decodePage(bytes), "a truncated page is refused");
   }
 
-  // 10,000 servers register at a rate of 320 a second, or of twice as many, and
-  // instances forward that. Guards against pushes without their items, since
+  // Of 10,000 servers, 320 or 640 register in a poll interval, and instances
+  // forward that in one push. Guards against pushes without their items, since
   // each receiver then reads them from its sender or from the registry.
   void pushesTheRegistrationsOfAPollInterval() {
     for (size_t servers : {320U, 640U}) {
--- a/tests/RegistryCacheTest.cpp
+++ b/tests/RegistryCacheTest.cpp
@@ -232,8 +232,7 @@
 
   // Thousands of items are created within a second. With a history of fewer
   // changes than items, eight instances at a time read a megabyte from one.
-  // That takes it half a second, and none of them learns a new configuration in
-  // time.
+  // That takes 3.2 s at 20 Mbit/s, so they learn a new configuration too late.
   void historyCoversAllItemsOfALargeDeployment() {
     Store store;
     store.config(1);
--- a/tests/RegistryWatcherTest.cpp
+++ b/tests/RegistryWatcherTest.cpp
@@ -1,4 +1,4 @@
-// The cache stays current through everything that a registry does.
+// Tests of how a watcher lists, watches, pulls and starts.
 
 #include "chicorybank/edge/RegistryWatcher.h"
 
@@ -300,7 +300,7 @@
 
   // A cache that was listed while servers registered holds some changes after
   // its position, so its checksum differs from the others' for a moment. Guards
-  // against a list by each instance, and another one by each because of it.
+  // against lists by all instances that cause further lists.
   void doesNotListForATemporaryDifference() {
     Store store;
     store.server(1);
--- a/tests/RestoreModel.h
+++ b/tests/RestoreModel.h
@@ -24,7 +24,7 @@
 
 namespace samples::registry {
 
-/// Sizes and rates of a model.
+/// Sizes of a model, and its random seed.
 struct RestoreModelOptions {
   size_t Instances = 5;
   size_t Servers = 6;
@@ -38,7 +38,8 @@
   static constexpr Duration Heartbeat = 1200ms;
   /// A change is in force everywhere within this time.
   static constexpr Duration ApplyWithin = 3s;
-  /// Bounds hold again this long after the last disturbance.
+  /// Updates flow again this long after the last disturbance; bounds are
+  /// checked after `ApplyWithin` more.
   static constexpr Duration SettleTime = 4s;
 
   explicit RestoreModel(RestoreModelOptions options)
--- a/tests/RestoreTest.cpp
+++ b/tests/RestoreTest.cpp
@@ -1,4 +1,4 @@
-// A registry that is restored from a backup some seconds old.
+// Tests of a registry that is restored from a backup some seconds old.
 
 #include "chicorybank/edge/RegistryWatcher.h"
 
--- a/tests/StartModel.h
+++ b/tests/StartModel.h
@@ -3,8 +3,8 @@
 // a model of what a call costs.
 //
 // The registry answers after 4 ms; its link and that of each instance carry one
-// answer after the other. Processor time is left out: at 0.038 of a core the
-// first page of a list adds some 30 ms to what is modelled here.
+// answer after the other. Processor time is left out, so real starts take
+// longer: some 30 ms for the first page of a list, at 0.038 of a core each.
 
 #ifndef CHICORYBANK_TESTS_STARTMODEL_H
 #define CHICORYBANK_TESTS_STARTMODEL_H
@@ -53,7 +53,8 @@
   }
 };
 
-/// Simulates the start of all instances until the last one serves.
+/// Simulates the start of all instances until the last one serves, or with
+/// `Options.Peers` until it knows everything.
 class StartModel {
 public:
   StartModel(const Store &registry, StartModelOptions options)
@@ -126,7 +127,7 @@
            (!Options.Peers || Completed == Instances.size());
   }
 
-  /// Makes the call that is due, or returns when one is.
+  /// Makes the call that is due, or schedules itself for when one is.
   void makeCall(Instance &it, Time now) {
     if (it.Serves && it.Watcher.complete() && !Options.Peers)
       return;
@@ -229,7 +230,7 @@
         std::chrono::duration<double>(static_cast<double>(bytes) / rate));
   }
 
-  /// As `answerOf`, in pages.
+  /// Returns the answer to a call, a list in pages of `PageItems`.
   RegistryAnswer page(const RegistryCall &call) const {
     if (call.Kind != CallKind::List)
       return answerOf(Registry, call);
--- a/tests/StartupReadsTest.cpp
+++ b/tests/StartupReadsTest.cpp
@@ -1,4 +1,4 @@
-// Hundreds of instances that start at once.
+// Tests of the start of hundreds of instances at once.
 
 #include "chicorybank/edge/StartupReads.h"
 
