--- a/include/chicorybank/edge/PropagationTree.h
+++ b/include/chicorybank/edge/PropagationTree.h
@@ -72,8 +72,8 @@
   struct Member;
 
   void setStalenessLimit(size_t zoneRank, size_t rank);
-  void appendRanks(const std::vector<Member> &members, size_t first,
-                   std::vector<Address> &out) const;
+  void appendAddresses(const std::vector<Member> &members, size_t first,
+                       std::vector<Address> &out) const;
   double jitter() const;
 
   PropagationOptions Options;
--- a/lib/edge/ControlWorker.cpp
+++ b/lib/edge/ControlWorker.cpp
@@ -38,8 +38,8 @@
       Sync(Events, Logger, settings, dialect, std::move(peerSocket), shared),
       Ready(Events, std::move(ready),
             [this](const std::string &) { return answerReady(); }),
-      Peers(Events, std::move(peerListener),
-            [this](const std::string &it) { return answerPeer(it); }) {
+      PeerServer(Events, std::move(peerListener),
+                 [this](const std::string &it) { return answerPeer(it); }) {
   SignalWakeup.attach(Events);
   State.ControlWakeup.attach(Events);
 }
@@ -70,7 +70,7 @@
     if (now >= IdleCheckAt) {
       IdleCheckAt = now + LogInterval;
       Ready.closeIdleConnections(now);
-      Peers.closeIdleConnections(now);
+      PeerServer.closeIdleConnections(now);
     }
     if (now >= StatusAt) {
       StatusAt = now + StatusInterval;
--- a/lib/edge/ControlWorker.h
+++ b/lib/edge/ControlWorker.h
@@ -48,7 +48,7 @@
   Log Logger;
   RegistrySync Sync;
   HttpServer Ready;
-  HttpServer Peers;
+  HttpServer PeerServer;
   Time IdleCheckAt;
   Time FileCheckAt;
   Time StatusAt;
--- a/lib/edge/Http.cpp
+++ b/lib/edge/Http.cpp
@@ -132,14 +132,15 @@
   SilenceLimit.reset();
   if (call.ExtendTimeoutOnData)
     SilenceLimit = call.Timeout;
-  In.reset();
-  Out = call.Method + ' ' + call.Target +
-        " HTTP/1.1\r\nHost: " + formatAddress(Server) + "\r\n";
+  Reader.reset();
+  SendBuffer = call.Method + ' ' + call.Target +
+               " HTTP/1.1\r\nHost: " + formatAddress(Server) + "\r\n";
   if (!call.Body.empty())
-    Out += "Content-Type: application/json\r\n";
+    SendBuffer += "Content-Type: application/json\r\n";
   if (call.Method != "GET")
-    Out += "Content-Length: " + std::to_string(call.Body.size()) + "\r\n";
-  Out += "\r\n" + call.Body;
+    SendBuffer +=
+        "Content-Length: " + std::to_string(call.Body.size()) + "\r\n";
+  SendBuffer += "\r\n" + call.Body;
   if (!Socket.valid())
     connect();
   else
@@ -171,31 +172,33 @@
       return;
     Connected = true;
   }
-  if (!Out.empty())
+  if (!SendBuffer.empty())
     writeOut();
   if (Socket.valid() && (events & (EPOLLIN | EPOLLERR | EPOLLHUP)) != 0)
     readIn();
 }
 
 void HttpClient::writeOut() {
-  ssize_t n = ::send(Socket.get(), Out.data(), Out.size(), MSG_NOSIGNAL);
+  ssize_t n =
+      ::send(Socket.get(), SendBuffer.data(), SendBuffer.size(), MSG_NOSIGNAL);
   if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
     if (!HasServedCall)
       return finish(tl::make_unexpected(HttpFailure::Broken));
     // The server closed the idle connection before the request was sent, so it
     // is safe to send it on a new one.
-    std::string out = std::move(Out);
+    std::string out = std::move(SendBuffer);
     Handler done = std::move(Callback);
     Time deadline = Deadline;
     close();
-    Out = std::move(out);
+    SendBuffer = std::move(out);
     Callback = std::move(done);
     Deadline = deadline;
     return connect();
   }
   if (n > 0)
-    Out.erase(0, static_cast<size_t>(n));
-  Events.modify(Socket.get(), Out.empty() ? EPOLLIN : EPOLLIN | EPOLLOUT);
+    SendBuffer.erase(0, static_cast<size_t>(n));
+  Events.modify(Socket.get(),
+                SendBuffer.empty() ? EPOLLIN : EPOLLIN | EPOLLOUT);
 }
 
 void HttpClient::readIn() {
@@ -211,13 +214,13 @@
       FirstByteAt = now;
     if (SilenceLimit)
       Deadline = now + *SilenceLimit;
-    if (!Callback || !In.feed(buf.data(), static_cast<size_t>(n)))
+    if (!Callback || !Reader.feed(buf.data(), static_cast<size_t>(n)))
       return finish(tl::make_unexpected(HttpFailure::Unreadable));
-    if (!In.complete())
+    if (!Reader.complete())
       continue;
-    HttpResponse response{.Status = In.status(),
-                          .Body = std::move(In.body()),
-                          .CapturedHeader = In.capturedHeader(),
+    HttpResponse response{.Status = Reader.status(),
+                          .Body = std::move(Reader.body()),
+                          .CapturedHeader = Reader.capturedHeader(),
                           .TimeToFirstByte = *FirstByteAt - StartedAt,
                           .TotalTime = steadyNow() - StartedAt};
     return finish(std::move(response));
@@ -228,7 +231,7 @@
   Handler done = std::move(Callback);
   Callback = nullptr;
   Deadline = Time::max();
-  if (!result || !In.keepAlive())
+  if (!result || !Reader.keepAlive())
     close();
   else
     HasServedCall = true;
@@ -242,7 +245,7 @@
   Socket.reset();
   Connected = false;
   Callback = nullptr;
-  Out.clear();
+  SendBuffer.clear();
   Deadline = Time::max();
 }
 
@@ -303,15 +306,15 @@
   ssize_t n = ::recv(connection.Socket.get(), buf.data(), buf.size(), 0);
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
     return true;
-  if (n <= 0 || !connection.In.feed(buf.data(), static_cast<size_t>(n)))
+  if (n <= 0 || !connection.Reader.feed(buf.data(), static_cast<size_t>(n)))
     return false;
-  if (!connection.In.complete())
+  if (!connection.Reader.complete())
     return true;
   connection.LastUsed = steadyNow();
-  connection.CloseAfter = !connection.In.keepAlive();
-  HttpResponse response = Respond(connection.In.target());
-  connection.In.reset();
-  connection.Out +=
+  connection.CloseAfter = !connection.Reader.keepAlive();
+  HttpResponse response = Respond(connection.Reader.target());
+  connection.Reader.reset();
+  connection.SendBuffer +=
       "HTTP/1.1 " + std::to_string(response.Status) +
       (response.Status == HttpOk ? " OK" : " Error") +
       "\r\nContent-Type: " + response.ContentType +
@@ -321,16 +324,16 @@
 }
 
 bool HttpServer::flush(Connection &connection) {
-  ssize_t n = ::send(connection.Socket.get(), connection.Out.data(),
-                     connection.Out.size(), MSG_NOSIGNAL);
+  ssize_t n = ::send(connection.Socket.get(), connection.SendBuffer.data(),
+                     connection.SendBuffer.size(), MSG_NOSIGNAL);
   if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK)
     return false;
   if (n > 0)
-    connection.Out.erase(0, static_cast<size_t>(n));
-  if (connection.Out.empty() && connection.CloseAfter)
+    connection.SendBuffer.erase(0, static_cast<size_t>(n));
+  if (connection.SendBuffer.empty() && connection.CloseAfter)
     return false;
   Events.modify(connection.Socket.get(),
-                connection.Out.empty() ? EPOLLIN : EPOLLIN | EPOLLOUT);
+                connection.SendBuffer.empty() ? EPOLLIN : EPOLLIN | EPOLLOUT);
   return true;
 }
 
--- a/lib/edge/Http.h
+++ b/lib/edge/Http.h
@@ -112,7 +112,9 @@
   /// Starts a call; no other may be in progress. The loop calls `done`.
   void call(const HttpRequest &call, Handler done);
   /// Responses carry the value of this header in `CapturedHeader`.
-  void captureHeader(std::string name) { In.captureHeader(std::move(name)); }
+  void captureHeader(std::string name) {
+    Reader.captureHeader(std::move(name));
+  }
   bool busy() const { return static_cast<bool>(Callback); }
   /// Closes the connection and drops the call in progress without calling back.
   void close();
@@ -136,8 +138,8 @@
   /// The connection has served a call. The server may have closed it since as
   /// idle; a new connection can't have been closed for that reason.
   bool HasServedCall = false;
-  std::string Out;
-  HttpMessageReader In{HTTP_RESPONSE};
+  std::string SendBuffer;
+  HttpMessageReader Reader{HTTP_RESPONSE};
   Handler Callback;
   Time Deadline = Time::max();
   /// Set for a call with `ExtendTimeoutOnData`.
@@ -162,8 +164,8 @@
 private:
   struct Connection {
     FileDescriptor Socket;
-    HttpMessageReader In{HTTP_REQUEST};
-    std::string Out;
+    HttpMessageReader Reader{HTTP_REQUEST};
+    std::string SendBuffer;
     Time LastUsed;
     bool CloseAfter = false;
   };
--- a/lib/edge/Metrics.cpp
+++ b/lib/edge/Metrics.cpp
@@ -67,9 +67,10 @@
   scalar(out, "chicory_registry_items_lost_total", "counter",
          "Items lost in a restore of the registry and not written again",
          watcher.RetainedExpired);
-  scalar(out, "chicory_news_pushes_other_generation_total", "counter",
-         "Pushes with another generation than this instance's copy",
-         watcher.OtherGenerations);
+  scalar(
+      out, "chicory_news_pushes_other_generation_total", "counter",
+      "Pushes of another generation of the registry, before or after a restore",
+      watcher.OtherGenerations);
   scalar(
       out, "chicory_registry_revisions_behind_total", "counter",
       "Registry responses with a revision below that of this instance's copy",
@@ -98,9 +99,11 @@
          "Pages of registry updates pulled from other instances",
          watcher.Pulls);
   scalar(out, "chicory_news_whole_pulls_total", "counter",
-         "Full copies pulled from other instances", watcher.WholePulls);
+         "Full copies of the registry's items read from other instances",
+         watcher.WholePulls);
   scalar(out, "chicory_peer_messages_total", "counter",
-         "Datagrams sent to other instances", peers.Messages);
+         "Datagrams sent to other instances, including failed attempts",
+         peers.Messages);
   scalar(out, "chicory_peer_bytes_total", "counter",
          "Bytes of datagrams sent to other instances", peers.Bytes);
   scalar(out, "chicory_bad_peer_messages_total", "counter",
@@ -123,7 +126,8 @@
            edge.Core.Drops);
   byReason(out, "chicory_resets_total", "Flows reset, by reason",
            edge.Core.Resets);
-  byReason(out, "chicory_retries_total", "Openings retried, by reason",
+  byReason(out, "chicory_retries_total",
+           "First packets of flows sent to another backend server, by reason",
            edge.Core.Retries);
   scalar(out, "chicory_packets_total", "counter", "Packets from callers",
          edge.Core.Packets);
@@ -142,9 +146,10 @@
   histogram(out, "chicory_request_seconds",
             "Time from a request's data to the first sign of its response",
             edge.Core.RequestTime);
-  histogram(out, "chicory_routes_age_seconds",
-            "Age of a rule version when it came into force on this instance",
-            edge.Core.RoutesAge);
+  histogram(
+      out, "chicory_routes_age_seconds",
+      "Age of a configuration version when it came into force on this instance",
+      edge.Core.RoutesAge);
   histogram(out, "chicory_batch_seconds",
             "Time to process one batch of packets, from reading to sending",
             edge.BatchTime);
@@ -156,7 +161,8 @@
   scalar(out, "chicory_send_failures_total", "counter",
          "Datagrams that the system failed to send", edge.SendFailures);
   scalar(out, "chicory_log_lines_dropped_total", "counter",
-         "Decisions dropped before they were logged", edge.LogsDropped);
+         "Log lines lost because the buffer to the logging thread was full",
+         edge.LogsDropped);
   registryMetrics(out, watcher, calls);
   routeHistoryMetrics(out, routeHistory);
   peerMetrics(out, watcher, peers);
@@ -164,7 +170,7 @@
   scalar(out, "chicory_servers", "gauge", "Running backend servers",
          edge.Servers);
   scalar(out, "chicory_routes", "gauge", "Routes in force", edge.Routes);
-  scalar(out, "chicory_rule_version", "gauge", "Rule version in force",
+  scalar(out, "chicory_rule_version", "gauge", "Configuration version in force",
          edge.RuleVersion);
   header(out, "chicory_zone_drained_seconds", "gauge",
          "Time since a zone's servers stopped receiving new flows");
--- a/lib/edge/PacketWorker.cpp
+++ b/lib/edge/PacketWorker.cpp
@@ -11,9 +11,9 @@
 // Callers retransmit an opening or data after 200 ms.
 constexpr Duration MaxHold = std::chrono::milliseconds(200);
 // The loop publishes every 250 ms; the rest allows for a thread that is
-// scheduled late. A longer turn means that the process or its machine was
+// scheduled late. A longer iteration means that the process or its machine was
 // suspended.
-constexpr Duration MaxTurn = std::chrono::milliseconds(650);
+constexpr Duration MaxIteration = std::chrono::milliseconds(650);
 // The maximum age of the state that metrics and readiness probes read.
 constexpr Duration PublishInterval = std::chrono::milliseconds(250);
 
@@ -57,9 +57,9 @@
 
 PacketWorker::PacketWorker(const EdgeSettings &settings, const Framing &framing,
                            FileDescriptor packets, SharedState &shared)
-    : Frames(framing), State(shared), Packets(std::move(packets)),
+    : Format(framing), State(shared), Packets(std::move(packets)),
       Core(settings.Core), Batch(Packets.get()), Probes(Events, settings.Ip),
-      Suspension(MaxTurn), HoldPackets(settings.Core.Enabled.HoldAtStart) {
+      Suspension(MaxIteration), HoldPackets(settings.Core.Enabled.HoldAtStart) {
   State.PacketWakeup.attach(Events);
 }
 
@@ -85,7 +85,7 @@
     Time next = std::min({Core.nextTick(now), PublishAt, Probes.nextAt()});
     Events.wait(std::max(next - now, Duration::zero()));
     now = steadyNow();
-    Suspension.recordTurn(bootTimeNow());
+    Suspension.recordIteration(bootTimeNow());
     applyUpdates(now);
     startReading(now);
     applyProbeResults(now);
@@ -110,7 +110,7 @@
     OpeningsMayBeStale = true;
   for (int n = 0; n < count; ++n) {
     token::Bytes raw(Received[n].data(), messages[n].msg_len);
-    auto head = Frames.read(raw);
+    auto head = Format.read(raw);
     if (!head) {
       ++Stats.BadPackets;
       continue;
@@ -138,11 +138,11 @@
 void PacketWorker::executeActions() {
   for (const token::Action &it : Actions) {
     if (const auto *forward = std::get_if<token::Forward>(&it)) {
-      size_t size = Frames.writeForward(*forward, Batch.nextBuffer());
+      size_t size = Format.writeForward(*forward, Batch.nextBuffer());
       Batch.add(size, forward->Where);
     } else if (const auto *reset = std::get_if<token::ResetFlow>(&it)) {
-      size_t size = Frames.writeReset(*reset, Batch.nextBuffer());
-      Batch.add(size, Frames.callerAddress(reset->Flow));
+      size_t size = Format.writeReset(*reset, Batch.nextBuffer());
+      Batch.add(size, Format.callerAddress(reset->Flow));
     } else if (const auto *probe = std::get_if<token::ProbeBackend>(&it)) {
       Probes.start(*probe, steadyNow());
     } else if (const auto *unreachable =
--- a/lib/edge/PacketWorker.h
+++ b/lib/edge/PacketWorker.h
@@ -58,7 +58,7 @@
   void executeActions();
   void publish(Time now);
 
-  const Framing &Frames;
+  const Framing &Format;
   SharedState &State;
   FileDescriptor Packets;
   EventLoop Events;
--- a/lib/edge/PropagationTree.cpp
+++ b/lib/edge/PropagationTree.cpp
@@ -91,9 +91,9 @@
       auto rank = static_cast<size_t>(self - members.begin());
       // An instance that the others don't know yet is not the first.
       setStalenessLimit(zoneRank, known ? rank : Unranked);
-      appendRanks(members, firstChild(rank), Children);
+      appendAddresses(members, firstChild(rank), Children);
       if (rank != 0)
-        appendRanks(members, firstChild(parentOf(rank)), Siblings);
+        appendAddresses(members, firstChild(parentOf(rank)), Siblings);
     }
     ++zoneRank;
   }
@@ -101,9 +101,9 @@
 
 /// Appends the addresses of the `FanOut` members from rank `first` on, without
 /// this instance.
-void PropagationTree::appendRanks(const std::vector<Member> &members,
-                                  size_t first,
-                                  std::vector<Address> &out) const {
+void PropagationTree::appendAddresses(const std::vector<Member> &members,
+                                      size_t first,
+                                      std::vector<Address> &out) const {
   for (size_t n = first; n < std::min(first + FanOut, members.size()); ++n)
     if (members[n].Peer.Id != Options.Self)
       out.push_back(members[n].Peer.PeerAddress);
--- a/lib/edge/RegistryCache.cpp
+++ b/lib/edge/RegistryCache.cpp
@@ -19,7 +19,7 @@
 
 /// Returns true if both are registrations and the second one adds nothing to
 /// the first; false for any other content.
-bool hasSameContent(const ItemContent &a, const ItemContent &b) {
+bool addsNothing(const ItemContent &a, const ItemContent &b) {
   const auto *x = std::get_if<token::Registration>(&a);
   const auto *y = std::get_if<token::Registration>(&b);
   if (!x || !y)
@@ -221,7 +221,7 @@
   if (it->second.Source.At.Generation < item.At.Generation)
     keepDrain(it->second.Content, content);
   // An instance that saw the old registration lapse needs the new one.
-  bool same = hasSameContent(it->second.Content, content) &&
+  bool same = addsNothing(it->second.Content, content) &&
               it->second.Source.Created == item.Created;
   removeFromTotals(it->second);
   it->second = {.Source = item, .Content = content, .Digest = digest};
--- a/lib/edge/RegistrySync.cpp
+++ b/lib/edge/RegistrySync.cpp
@@ -36,7 +36,7 @@
       Writer(loop, log, settings, dialect, Watcher.cache()),
       Registry(loop, settings.Ip, settings.Registry, dialect),
       Pages(loop, settings.Ip, Watcher.cache()),
-      Peers(InstanceId{settings.Ip}, settings.Zone) {
+      Gossip(InstanceId{settings.Ip}, settings.Zone) {
   Watcher.setStalenessLimit(Tree.stalenessLimit(), Tree.retryMax());
   Events.watch(Socket.get(), EPOLLIN, [this](uint32_t) { receiveMessages(); });
 }
@@ -64,7 +64,7 @@
   if (Watcher.started())
     out = std::min(out, Writer.nextAt(mayWriteShared(), Tree.stalenessLimit()));
   if (mayGossip())
-    out = std::min(out, Peers.nextAt(Stale));
+    out = std::min(out, Gossip.nextAt(Stale));
   if (!Leaving && !Registry.busy())
     out = std::min(out, Watcher.nextAt());
   return out;
@@ -121,7 +121,7 @@
   Time now = steadyNow();
   std::vector<token::Event> updates;
   Position before = Watcher.cache().position();
-  bool learned =
+  bool provesCurrent =
       Watcher.answered(toRegistryAnswer(result, Dialect), now, updates);
   logRestore(before, InstanceId{});
   applyUpdates(std::move(updates), InstanceId{}, now);
@@ -131,7 +131,7 @@
   else if (result->Status != HttpOk && result->Status != HttpNotFound)
     Logger.write(
         LogLine("registry_call_failed").with("status", result->Status));
-  if (!learned)
+  if (!provesCurrent)
     return;
   // The first list is the starting point, not a change to push.
   if (PushedPosition == Position{})
@@ -172,11 +172,11 @@
   Findings findings = Watcher.takeFindings();
   for (const Finding &it : findings.items())
     Logger.write(LogLine("bad_item").with("finding", it.text()));
-  if (Watcher.peers() != Peers.registered())
+  if (Watcher.peers() != Gossip.registered())
     updatePeers(now);
-  auto own = Peers.registered().find(InstanceId{Settings.Ip});
-  Writer.learnOwnRecord(own == Peers.registered().end() ? nullptr
-                                                        : &own->second,
+  auto own = Gossip.registered().find(InstanceId{Settings.Ip});
+  Writer.learnOwnRecord(own == Gossip.registered().end() ? nullptr
+                                                         : &own->second,
                         Watcher.currentAt());
   Writer.learnDirectory(Watcher.directorySummary(), now);
 }
@@ -193,14 +193,14 @@
 }
 
 void RegistrySync::updatePeers(Time now) {
-  Peers.learn(Watcher.peers(), now);
+  Gossip.learn(Watcher.peers(), now);
   token::InstancesLearned instances;
-  for (const auto &[id, peer] : Peers.registered())
+  for (const auto &[id, peer] : Gossip.registered())
     if (!peer.Leaving)
       instances.Instances.push_back({.Id = id, .Zone = peer.Zone});
   Pending.emplace_back(std::move(instances));
   forwardPending();
-  Tree.learn(Peers.treeMembers(now));
+  Tree.learn(Gossip.treeMembers(now));
   Watcher.setStalenessLimit(Tree.stalenessLimit(), Tree.retryMax());
 }
 
@@ -262,10 +262,10 @@
   sendUnreachableReport(report.Backend, false);
 }
 
-void RegistrySync::sendUnreachableReport(token::BackendId id, bool own) {
+void RegistrySync::sendUnreachableReport(token::BackendId id, bool isOrigin) {
   std::string bytes = encodeUnreachableReport(
       {.Sender = InstanceId{Settings.Ip}, .Backend = id});
-  for (Address it : Tree.targets(own))
+  for (Address it : Tree.targets(isOrigin))
     send(bytes, it);
 }
 
@@ -325,8 +325,8 @@
 /// Returns where to reach an instance. All instances use the same port, so an
 /// instance without a record is reachable too.
 Address RegistrySync::addressOf(InstanceId id) const {
-  auto it = Peers.registered().find(id);
-  return it == Peers.registered().end()
+  auto it = Gossip.registered().find(id);
+  return it == Gossip.registered().end()
              ? Address{.Ip = id.Value, .Port = Settings.Peers.Port}
              : it->second.PeerAddress;
 }
@@ -334,8 +334,8 @@
 void RegistrySync::sendGossip(Time now) {
   if (!mayGossip())
     return;
-  std::vector<Address> targets = Peers.dueRegistered(Stale, now);
-  std::vector<Address> former = Peers.dueFormer(Stale, now);
+  std::vector<Address> targets = Gossip.dueRegistered(Stale, now);
+  std::vector<Address> former = Gossip.dueFormer(Stale, now);
   targets.insert(targets.end(), former.begin(), former.end());
   if (targets.empty())
     return;
--- a/lib/edge/RegistrySync.h
+++ b/lib/edge/RegistrySync.h
@@ -72,7 +72,7 @@
   void handleFragment(Fragment fragment, Time now);
   void handleUnreachableReport(const UnreachableReport &report, Time now);
   void shareUnreachableBackends(Time now);
-  void sendUnreachableReport(token::BackendId id, bool own);
+  void sendUnreachableReport(token::BackendId id, bool isOrigin);
   void pullUpdates(InstanceId from, bool whole);
   Address addressOf(InstanceId id) const;
   void pullSeed(InstanceId from);
@@ -112,7 +112,7 @@
   PeerPages Pages;
   std::deque<token::Event> Pending;
   /// The registered instances, and former ones that may be back.
-  OutageGossip Peers;
+  OutageGossip Gossip;
   /// The position up to which the last push had all changes.
   Position PushedPosition;
   /// The time as of which the last push was current.
--- a/lib/edge/SuspensionDetector.h
+++ b/lib/edge/SuspensionDetector.h
@@ -7,23 +7,25 @@
 
 namespace chicory::edge {
 
-/// Compares the time between two turns of a loop with the maximum time that a
-/// turn may take. Takes times of the boot clock, which runs during suspensions.
+/// Compares the time between two iterations of a loop with the maximum time
+/// that a iteration may take. Takes times of the boot clock, which runs during
+/// suspensions.
 class SuspensionDetector {
 public:
-  explicit SuspensionDetector(Duration maxTurn) : MaxTurn(maxTurn) {}
+  explicit SuspensionDetector(Duration maxIteration)
+      : MaxIteration(maxIteration) {}
 
-  void recordTurn(Time now) { LastTurn = now; }
+  void recordIteration(Time now) { LastIteration = now; }
   /// Returns whether more than the maximum has passed since the last iteration.
   /// The process or its machine was suspended then, and data that waits in the
   /// sockets may be stale.
   bool wasSuspended(Time now) const {
-    return LastTurn != Time{} && now - LastTurn > MaxTurn;
+    return LastIteration != Time{} && now - LastIteration > MaxIteration;
   }
 
 private:
-  Duration MaxTurn;
-  Time LastTurn;
+  Duration MaxIteration;
+  Time LastIteration;
 };
 
 } // namespace chicory::edge
--- a/tests/HttpTest.cpp
+++ b/tests/HttpTest.cpp
@@ -79,8 +79,7 @@
                "a timeout of the whole response ends the call");
     whole.ExtendTimeoutOnData = true;
     auto slow = call(server.Port, whole);
-    expectTrue(slow && slow->Body.size() == Pieces,
-               "a timeout that data extends waits");
+    expectTrue(slow && slow->Body.size() == Pieces, "data extends the timeout");
     auto stuck = call(
         server.Port,
         {.Target = "/stuck", .Timeout = 400ms, .ExtendTimeoutOnData = true});
--- a/tests/InstanceRegistrarTest.cpp
+++ b/tests/InstanceRegistrarTest.cpp
@@ -21,16 +21,16 @@
 }
 
 struct RegistrarFixture {
-  InstanceRegistrar Record{
+  InstanceRegistrar Registrar{
       Dialect, {.Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}}, {}};
   Time Now = Start;
 
   /// Answers the call that is due, and returns its target.
   std::string step(int status, const std::string &body = "{}") {
-    auto call = Record.next(Now);
+    auto call = Registrar.next(Now);
     if (!call)
       return {};
-    Record.answered({.Status = status, .Body = body}, Now);
+    Registrar.answered({.Status = status, .Body = body}, Now);
     return call->Target;
   }
   /// Answers that there is no record of a previous process.
@@ -65,7 +65,7 @@
   void rereadsRecordAfterRestore() {
     RegistrarFixture it;
     it.announce();
-    it.Record.registryRestored();
+    it.Registrar.registryRestored();
     expectEqual<std::string>("", it.step(Ok));
     it.Now += RegistrarTimes{}.RenewInterval;
     section("with its next renewal, by a current read", [&] {
@@ -74,15 +74,15 @@
       expectEqual<std::string>("/-/kv-keep/9", it.step(Ok));
     });
     section("a lost record is written again", [&] {
-      it.Record.registryRestored();
+      it.Registrar.registryRestored();
       it.Now += RegistrarTimes{}.RenewInterval;
       it.step(404);
       expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
       expectEqual<std::string>("/-/kv-txn", it.step(Ok));
     });
     section("an instance that leaves meanwhile does not end the lease", [&] {
-      it.Record.registryRestored();
-      expectTrue(!it.Record.leave(), "it may belong to another instance");
+      it.Registrar.registryRestored();
+      expectTrue(!it.Registrar.leave(), "it may belong to another instance");
     });
   }
 
@@ -95,15 +95,15 @@
     RegistrarFixture it;
     it.skipFormerRecord();
     auto answer = [&](uint64_t generation, const std::string &body) {
-      auto call = it.Record.next(it.Now);
-      it.Record.answered(
+      auto call = it.Registrar.next(it.Now);
+      it.Registrar.answered(
           {.Status = Ok, .Body = body, .Generation = Generation{generation}},
           it.Now);
       return call ? call->Target : std::string();
     };
     expectEqual<std::string>("/-/kv-lease", answer(1, R"({"lease":5})"));
     expectEqual<std::string>("/-/kv-txn", answer(2, "{}"));
-    it.Record.registryRestored();
+    it.Registrar.registryRestored();
     expectEqual<std::string>("/-/kv-lease", answer(2, R"({"lease":6})"));
   }
 
@@ -135,10 +135,10 @@
     RegistrarFixture it;
     it.announce();
     it.Now += 1s;
-    it.Record.checkRecord(nullptr, it.Now);
+    it.Registrar.checkRecord(nullptr, it.Now);
     expectEqual<std::string>("", it.step(Ok));
     it.Now += 3100ms;
-    it.Record.checkRecord(nullptr, it.Now);
+    it.Registrar.checkRecord(nullptr, it.Now);
     expectEqual<std::string>("/-/kv-lease", it.step(Ok, R"({"lease":6})"));
   }
 
@@ -149,7 +149,7 @@
     RegistrarFixture it;
     it.announce();
     it.Now += 4200ms;
-    it.Record.checkRecord(nullptr, it.Now - 4100ms);
+    it.Registrar.checkRecord(nullptr, it.Now - 4100ms);
     expectEqual<std::string>("", it.step(Ok));
   }
 
@@ -166,10 +166,10 @@
 
   void marksRecordAsLeaving() {
     RegistrarFixture it;
-    expectTrue(!it.Record.leave(), "there is no record");
+    expectTrue(!it.Registrar.leave(), "there is no record");
     RegistrarFixture other;
     other.announce();
-    auto last = other.Record.leave();
+    auto last = other.Registrar.leave();
     expectEqual<std::string>("/-/kv-txn", last->Target);
     section("its record says that it leaves, and ends with its lease", [&] {
       PeerRecord self{.Id = InstanceId{1}, .Zone = "a", .PeerAddress = {1, 2}};
@@ -186,7 +186,7 @@
       early.skipFormerRecord();
       early.step(Ok, R"({"lease":6})");
       expectEqual<std::string>("/-/kv-lease-end/6",
-                               early.Record.leave()->Target);
+                               early.Registrar.leave()->Target);
     });
   }
 
@@ -217,7 +217,7 @@
       leaving.Leaving = true;
       late.Now += 4s;
       late.step(Ok);
-      late.Record.checkRecord(&leaving, late.Now);
+      late.Registrar.checkRecord(&leaving, late.Now);
       expectEqual<std::string>("/-/kv-txn", late.step(Ok));
     });
   }
--- a/tests/PeerMessagesTest.cpp
+++ b/tests/PeerMessagesTest.cpp
@@ -202,7 +202,7 @@
   }
 
   void refusesDamagedFragments() {
-    property("a changed message is decoded or refused", [] {
+    property("a changed fragment never has an index out of range", [] {
       std::string bytes = encodeDatagrams(sample(3000), 3, 1)[0];
       auto at = *rc::gen::inRange<size_t>(0, bytes.size());
       bytes[at] = *rc::gen::arbitrary<char>();
@@ -231,7 +231,7 @@
       bytes.resize(*rc::gen::inRange<size_t>(0, bytes.size()));
       RC_ASSERT(!decodePush(bytes));
     });
-    property("a changed message is decoded or refused", [] {
+    property("a changed push does not crash the decoder", [] {
       std::string bytes = encodePush(sample(50));
       auto at = *rc::gen::inRange<size_t>(0, bytes.size());
       bytes[at] = *rc::gen::arbitrary<char>();
--- a/tests/PropagationTreeTest.cpp
+++ b/tests/PropagationTreeTest.cpp
@@ -109,7 +109,7 @@
   CPPUNIT_TEST(reachesAllInstancesInFewSteps);
   CPPUNIT_TEST(reachesOtherZonesIfTheirFirstFailed);
   CPPUNIT_TEST(onlyOneInstanceAsksFirst);
-  CPPUNIT_TEST(hasTheLastRankUntilItsRecordIsSeen);
+  CPPUNIT_TEST(hasNoRankUntilItsRecordIsSeen);
   CPPUNIT_TEST(keepsTheLastOrderWhileRecordsLapse);
   CPPUNIT_TEST(asksInTimeAtAnyFleetSize);
   CPPUNIT_TEST(sendsNoMorePushesInALargerFleet);
@@ -140,7 +140,7 @@
 
   // 295 instances start before any has a record. If each took itself for the
   // first one and watched at once, they would make 295 calls instead of one.
-  void hasTheLastRankUntilItsRecordIsSeen() {
+  void hasNoRankUntilItsRecordIsSeen() {
     Fleet all = fleet(1, 60);
     Duration last = Duration::zero();
     for (const auto &[id, it] : all)
@@ -210,15 +210,15 @@
         if (treeOf(it, all).stalenessLimit() == 500ms)
           watcher = &it;
       expectEqual<size_t>(1, askersAfterFailure(all, {}, watcher->Id));
-      auto heads = childrenOf(*watcher, all);
+      auto children = childrenOf(*watcher, all);
       size_t few = 3;
       section("an instance at depth one", [&] {
-        size_t n = askersAfterFailure(all, {heads[5].Ip}, watcher->Id);
+        size_t n = askersAfterFailure(all, {children[5].Ip}, watcher->Id);
         expectTrue(n <= 1 + few, std::to_string(n) + " of " +
                                      std::to_string(2 * each) + " ask");
       });
       section("an instance at depth two", [&] {
-        auto second = childrenOf(all.at(InstanceId{heads[5].Ip}), all);
+        auto second = childrenOf(all.at(InstanceId{children[5].Ip}), all);
         size_t n = askersAfterFailure(all, {second[2].Ip}, watcher->Id);
         expectTrue(n <= 1 + few, std::to_string(n) + " of " +
                                      std::to_string(2 * each) + " ask");
@@ -235,7 +235,8 @@
                                   .targets(false)
                                   .size());
       expectTrue(most <= PropagationTree::FanOut,
-                 "of " + std::to_string(each) + ": " + std::to_string(most));
+                 "pushes of an instance in a zone of " + std::to_string(each) +
+                     ": " + std::to_string(most));
     }
   }
 };
--- a/tests/RegistryCacheTest.cpp
+++ b/tests/RegistryCacheTest.cpp
@@ -174,7 +174,8 @@
     auto changes = cache.apply(store.since(2), findings);
     expectTrue(changes.size() == 1 && changes[0].Source.Deleted, "the end");
     expectEqual<size_t>(1, cache.snapshot().Items.size());
-    expectTrue(cache.position() == at(3), "it is as of the end");
+    expectTrue(cache.position() == at(3),
+               "the position is that of the removal");
   }
 
   // A server's newest registration arrives first, an older one later by a
--- a/tests/RegistrySamples.h
+++ b/tests/RegistrySamples.h
@@ -96,7 +96,7 @@
     History.clear();
     HistoryFrom = Revision;
   }
-  /// Returns the caller that created a lease; empty if there is none.
+  /// Returns the instance that created a lease; empty if there is none.
   std::string ownerOf(int64_t lease) const {
     auto it = Leases.find(lease);
     return it == Leases.end() ? std::string() : it->second.Owner;
@@ -114,12 +114,12 @@
   }
   /// Handles a call that writes, or that creates or renews a lease.
   RegistryAnswer change(const RegistryCall &call, Time now,
-                        const std::string &caller) {
+                        const std::string &owner) {
     constexpr Duration LeaseDuration = 12s;
     constexpr std::string_view Keep = "/-/kv-keep/";
     if (call.Target == "/-/kv-lease") {
       int64_t lease = ++Revision;
-      Leases[lease] = {.EndsAt = now + LeaseDuration, .Owner = caller};
+      Leases[lease] = {.EndsAt = now + LeaseDuration, .Owner = owner};
       return {.Status = Ok,
               .Body = R"({"lease":)" + std::to_string(lease) + "}"};
     }
@@ -263,6 +263,7 @@
     answer({.Status = status});
     return true;
   }
+  /// Returns the events of one type, and drops all events.
   template <typename T> std::vector<T> take() {
     std::vector<T> out;
     for (const token::Event &it : Events)
--- a/tests/RegistryWatcherTest.cpp
+++ b/tests/RegistryWatcherTest.cpp
@@ -160,7 +160,7 @@
         ++lists;
     }
     expectTrue(lists >= 5 && lists <= 7,
-               "every eight seconds of 50: " + std::to_string(lists));
+               "lists in 50 s: " + std::to_string(lists));
   }
 
   void appliesTheFirstPagesBeforeTheLast() {
@@ -286,7 +286,7 @@
       expectTrue(learned.size() == 1 && learned[0].Present.size() == 1,
                  "server 2 is back");
     });
-    section("a cache that still differs is not copied", [&] {
+    section("a cache that still differs causes a list", [&] {
       UpdatePush push = missedLapse.Watcher.makePush(
           InstanceId{2}, store.position(), sawLapse.Now);
       push.Digest ^= 1;
@@ -612,7 +612,7 @@
                "it may lack servers");
     expectTrue(fixture.take<token::FreshnessUpdated>().empty(),
                "it does not prove a current cache");
-    section("the list comes within a share of the time for all lists", [&] {
+    section("the list comes within the delay for two servers", [&] {
       fixture.Now += 2 * StartupReads::ListDelayPerServer;
       expectEqual<std::string>("/-/kv-range?prefix=&serializable=1",
                                fixture.stepOnce(store));
--- a/tests/RestoreModel.h
+++ b/tests/RestoreModel.h
@@ -99,15 +99,15 @@
   void dropHistory() { Registry.dropHistory(); }
   void cutFromRegistry(Duration time) {
     recordDisturbance(time);
-    any().CutUntil = Now + time;
+    randomInstance().CutUntil = Now + time;
   }
   void cutFromOthers(Duration time) {
     recordDisturbance(time);
-    any().IsolatedUntil = Now + time;
+    randomInstance().IsolatedUntil = Now + time;
   }
   void suspend(Duration time) {
     recordDisturbance(time);
-    any().SuspendedUntil = Now + time;
+    randomInstance().SuspendedUntil = Now + time;
   }
   void restart() {
     recordDisturbance();
@@ -143,7 +143,7 @@
   uint64_t calls() const { return Calls; }
   /// Returns the time from the last disturbance until all instances were of the
   /// present generation.
-  Duration timeToFollow() const { return TimeToFollow; }
+  Duration timeUntilSameGeneration() const { return TimeUntilSameGeneration; }
 
 private:
   struct Server {
@@ -197,7 +197,9 @@
     return std::next(Servers.begin(),
                      static_cast<std::ptrdiff_t>(randomBelow(Servers.size())));
   }
-  Instance &any() { return *Instances[randomBelow(Instances.size())]; }
+  Instance &randomInstance() {
+    return *Instances[randomBelow(Instances.size())];
+  }
   void recordDisturbance(Duration time = Duration::zero()) {
     UndisturbedSince = std::max(UndisturbedSince, Now + time);
   }
@@ -287,9 +289,10 @@
       it.Watcher.revalidate(Now);
     std::vector<token::Event> events;
     while (auto call = it.Watcher.next(Now)) {
-      bool learned = it.Watcher.answered(read(it, call->Call), Now, events);
+      bool provesCurrent =
+          it.Watcher.answered(read(it, call->Call), Now, events);
       processEvents(it, events);
-      if (learned)
+      if (provesCurrent)
         push(it, true);
       if (Now < it.CutUntil)
         break;
@@ -409,7 +412,7 @@
                         std::to_string(id.Value));
   }
 
-  void push(Instance &from, bool asked) {
+  void push(Instance &from, bool fromRegistry) {
     if (!from.Watcher.mayPassOn())
       return;
     if (from.PushedTo == Position{})
@@ -417,7 +420,7 @@
     UpdatePush push = from.Watcher.makePush(from.Id, from.PushedTo, Now);
     from.PushedTo = from.Watcher.cache().position();
     from.PushedAsOf = from.Watcher.currentAt();
-    for (Address target : from.Tree.targets(asked))
+    for (Address target : from.Tree.targets(fromRegistry))
       for (auto &it : Instances)
         if (it->Id.Value == target.Ip && connected(from, *it))
           receive(*it, from, push);
@@ -456,7 +459,7 @@
       all = all &&
             it->Watcher.cache().position().Generation == Registry.generation();
     if (!all)
-      TimeToFollow = Now - UndisturbedSince;
+      TimeUntilSameGeneration = Now - UndisturbedSince;
     if (Now - UndisturbedSince < SettleTime + ApplyWithin)
       return;
     for (const auto &it : Instances)
@@ -493,7 +496,7 @@
   uint64_t Started = 0;
   bool ZoneDrained = false;
   uint64_t Calls = 0;
-  Duration TimeToFollow = Duration::zero();
+  Duration TimeUntilSameGeneration = Duration::zero();
   std::string Violation;
 };
 
--- a/tests/RestoreTest.cpp
+++ b/tests/RestoreTest.cpp
@@ -311,8 +311,8 @@
     uint64_t additional = model.calls() - before - calm;
     expectTrue(additional <= 2 * Instances,
                "additional calls: " + std::to_string(additional));
-    expectTrue(model.timeToFollow() <= RestoreModel::ApplyWithin,
-               "all follow in time");
+    expectTrue(model.timeUntilSameGeneration() <= RestoreModel::ApplyWithin,
+               "all are of the new generation in time");
     model.run(20s);
     expectEqual<std::string>("", model.violation());
     expectEqual<std::string>("", model.inconsistency());
--- a/tests/RouteHistoryTest.cpp
+++ b/tests/RouteHistoryTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Address Feed{.Ip = 0xc6120001, .Port = 443};
+constexpr Address RouteAddress{.Ip = 0xc6120001, .Port = 443};
 constexpr ServiceId Records{1};
 constexpr ServiceId Certificates{2};
 constexpr Time Start{100s};
@@ -18,7 +18,7 @@
 token::RouteSet routes(uint64_t version,
                        const std::vector<ServiceId> &services) {
   token::RouteSet out{.Version = RuleVersion{version}};
-  token::Route route{.Where = Feed};
+  token::Route route{.Where = RouteAddress};
   for (ServiceId it : services)
     route.Services.push_back({.Service = it});
   if (!services.empty())
@@ -98,7 +98,7 @@
     history.learn(routes(1, {Records}), Start);
     auto missing = history.incompleteParts({}, FlowAge, Start);
     expectEqual<size_t>(1, missing.size());
-    expectEqual(RouteHistory::partOf(Feed, 1), missing[0].Part);
+    expectEqual(RouteHistory::partOf(RouteAddress, 1), missing[0].Part);
     expectEqual<int64_t>(0, missing[0].At.Revision);
     RouteHistoryParts stored;
     store(missing, stored);
@@ -185,8 +185,8 @@
     history.learn(routes(1, {Records}), Start);
     store(history.incompleteParts(stored, FlowAge, Start), stored);
     history.learn(stored, FlowAge, Start);
-    stored[RouteHistory::partOf(Feed, 1)] = {.Part =
-                                                 RouteHistory::partOf(Feed, 1)};
+    stored[RouteHistory::partOf(RouteAddress, 1)] = {
+        .Part = RouteHistory::partOf(RouteAddress, 1)};
     history.learn(stored, FlowAge, Start);
     auto missing = history.incompleteParts(stored, FlowAge, Start);
     expectEqual<size_t>(1, missing.size());
--- a/tests/RouteHistoryWriterTest.cpp
+++ b/tests/RouteHistoryWriterTest.cpp
@@ -36,8 +36,8 @@
   return it->value;
 }
 
-/// The store: the routes, and the record with conditional writes.
-class Deployment {
+/// A store: the routes, and the record with conditional writes.
+class FakeStore {
 public:
   token::RouteSet Routes = routes(1, std::vector<uint32_t>(Addresses, 0));
   RouteHistoryParts Records;
@@ -90,7 +90,7 @@
   token::RouteTable Table{FlowAge};
 
   /// Reads the content of the store, the record first, in the order of a list.
-  void read(const Deployment &store, Time now) {
+  void read(const FakeStore &store, Time now) {
     for (const auto &[part, record] : store.Records)
       Table.learnPast(record.Pairs, now);
     Table.learn(store.Routes, now);
@@ -116,7 +116,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   void writesAfterTheSettleTime() {
-    Deployment store;
+    FakeStore store;
     Instance one;
     one.read(store, Start);
     expectTrue(!one.Writer.next(FirstLimit, Start + 1900ms),
@@ -130,7 +130,7 @@
   }
 
   void leavesTheWriteToAnEarlierInstance() {
-    Deployment store;
+    FakeStore store;
     Instance first;
     Instance other;
     first.read(store, Start);
@@ -147,7 +147,7 @@
   // first instance writes, and data is missing again when its write is read.
   // The delay of the others has to start anew then.
   void onlyOneInstanceWritesWhileRoutesKeepChanging() {
-    Deployment store;
+    FakeStore store;
     Instance first;
     Instance other;
     int calls = 0;
@@ -166,7 +166,7 @@
   }
 
   void retriesAfterAFailure() {
-    Deployment store;
+    FakeStore store;
     Instance one;
     one.read(store, Start);
     expectTrue(one.Writer.next(FirstLimit, Start + 2s).has_value(), "due");
@@ -181,7 +181,7 @@
   // updates from each other write from the same state, each with a pair of its
   // own. The second write must not replace the first.
   void doesNotOverwriteAnotherWriter() {
-    Deployment store;
+    FakeStore store;
     Instance one;
     Instance two;
     one.read(store, Start);
@@ -210,7 +210,7 @@
   // after.
   void startedInstancesForwardOldFlows() {
     property("what was recorded is known after any restart", [] {
-      Deployment store;
+      FakeStore store;
       std::array<std::optional<Instance>, 3> fleet;
       std::vector<RegistryCall> delayed;
       // Pairs in force while a write was executed, and when they ended.
@@ -267,7 +267,7 @@
   // ever gave to the address.
   void neverForwardsToAServiceThatNoVersionNamed() {
     property("a forged token is refused after any moves and restarts", [] {
-      Deployment store;
+      FakeStore store;
       Time now = Start;
       for (int n = *rc::gen::inRange(0, 10); n > 0; --n) {
         Instance one = startedNow(store, now);
@@ -284,7 +284,7 @@
     });
   }
 
-  static bool isInForce(const Deployment &store, const token::RoutePair &pair) {
+  static bool isInForce(const FakeStore &store, const token::RoutePair &pair) {
     for (const token::Route &it : store.Routes.Routes)
       if (it.Where == pair.Where && it.Services[0].Service == pair.Service)
         return true;
@@ -292,14 +292,14 @@
   }
   /// Requires that recorded pairs in force are forwarded from now on.
   static void
-  require(const Deployment &store,
+  require(const FakeStore &store,
           std::map<token::RoutePair, std::optional<Time>> &required) {
     for (const auto &[part, record] : store.Records)
       for (const token::RoutePair &it : record.Pairs)
         if (isInForce(store, it))
           required[it].reset();
   }
-  static Instance startedNow(const Deployment &store, Time now) {
+  static Instance startedNow(const FakeStore &store, Time now) {
     Instance out;
     out.read(store, now);
     return out;
--- a/tests/StartModel.h
+++ b/tests/StartModel.h
@@ -104,8 +104,8 @@
     bool Complete = false;
     Time StartedAt;
     Time LinkFreeAt;
-    bool Routes = false;
-    bool Servers = false;
+    bool HasRoutes = false;
+    bool HasServers = false;
     bool Serves = false;
   };
   struct Event {
@@ -165,9 +165,9 @@
 
   void receiveAnswer(Instance &it, const RegistryAnswer &answer, Time now) {
     std::vector<token::Event> events;
-    bool learned = it.Watcher.answered(answer, now, events);
+    bool provesCurrent = it.Watcher.answered(answer, now, events);
     recordProgress(it, events, now);
-    if (learned && Options.Peers)
+    if (provesCurrent && Options.Peers)
       push(it, true, now);
     makeCall(it, now);
   }
@@ -175,10 +175,10 @@
   void recordProgress(Instance &it, const std::vector<token::Event> &events,
                       Time now) {
     for (const token::Event &event : events) {
-      it.Routes |= std::holds_alternative<token::RoutesLearned>(event);
-      it.Servers |= std::holds_alternative<token::BackendsLearned>(event);
+      it.HasRoutes |= std::holds_alternative<token::RoutesLearned>(event);
+      it.HasServers |= std::holds_alternative<token::BackendsLearned>(event);
     }
-    if (it.Routes && it.Servers && !std::exchange(it.Serves, true))
+    if (it.HasRoutes && it.HasServers && !std::exchange(it.Serves, true))
       Outcome.ServesAfter.push_back(now - it.StartedAt);
     if (it.Watcher.complete() && !std::exchange(it.Complete, true)) {
       ++Completed;
@@ -186,12 +186,12 @@
     }
   }
 
-  void push(Instance &from, bool asked, Time now) {
+  void push(Instance &from, bool fromRegistry, Time now) {
     if (!from.Watcher.mayPassOn())
       return;
     UpdatePush push =
         from.Watcher.makePush(from.Id, from.Watcher.cache().position(), now);
-    for (Address to : from.Tree.targets(asked)) {
+    for (Address to : from.Tree.targets(fromRegistry)) {
       Instance &it = *Instances[to.Ip - 1];
       at(now + Options.OneWay, [this, &it, &from, push](Time then) {
         receivePush(it, from, push, then);
--- a/tests/SuspensionDetectorTest.cpp
+++ b/tests/SuspensionDetectorTest.cpp
@@ -22,12 +22,12 @@
     Time now{100s};
     expectTrue(!detector.wasSuspended(now),
                "not suspended before the first turn");
-    detector.recordTurn(now);
+    detector.recordIteration(now);
     expectTrue(!detector.wasSuspended(now + 600ms),
                "a turn of the maximum time is no suspension");
     expectTrue(detector.wasSuspended(now + 601ms),
                "a longer turn is a suspension");
-    detector.recordTurn(now + 2s);
+    detector.recordIteration(now + 2s);
     expectTrue(!detector.wasSuspended(now + 2s),
                "the next turn ends the suspension");
   }
